--- a/libs/ragwort_fakes/ragwort_fakes/_runner.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_runner.py
@@ -304,7 +304,7 @@
         self._at(now + HEARTBEAT_S, 'alive', attempt)
         if call.connection in self.silent or self._is_hung(call, now):
             return []
-        record = wire.ResultAlive(attempt)
+        record = wire.ResultHeartbeat(attempt)
         return [RunnerReply(call.connection, attempt, record)]
 
     def _is_hung(self, call: _Call, now: float) -> bool:
--- a/libs/ragwort_lab/ragwort_lab/_runner_side.py
+++ b/libs/ragwort_lab/ragwort_lab/_runner_side.py
@@ -78,7 +78,7 @@
         self,
         opened: _world_parts.OpenCall,
         event: model.StageChunk
-        | model.StageAlive
+        | model.StageHeartbeat
         | model.StageEnd
         | model.StageFailed,
     ) -> None:
--- a/libs/ragwort_model/ragwort_model/__init__.py
+++ b/libs/ragwort_model/ragwort_model/__init__.py
@@ -96,11 +96,11 @@
 from ragwort_model._stage import ReadLoad
 from ragwort_model._stage import RunnerOrder
 from ragwort_model._stage import SendOrder
-from ragwort_model._stage import StageAlive
 from ragwort_model._stage import StageCall
 from ragwort_model._stage import StageChunk
 from ragwort_model._stage import StageEnd
 from ragwort_model._stage import StageFailed
+from ragwort_model._stage import StageHeartbeat
 from ragwort_model._stage import WantedState
 from ragwort_model._store import StoreCall
 from ragwort_model._store import StoredObject
@@ -191,17 +191,17 @@
     'Service',
     'ServiceDocument',
     'ServiceKind',
+    'ServiceWait',
     'SettingsError',
     'split_address',
     'stable_hash',
-    'StageAlive',
-    'ServiceWait',
     'StageAsk',
     'StageCall',
     'StageChunk',
     'StageDrop',
     'StageEnd',
     'StageFailed',
+    'StageHeartbeat',
     'StageRelease',
     'StageReply',
     'StageTaken',
--- a/libs/ragwort_model/ragwort_model/_stage.py
+++ b/libs/ragwort_model/ragwort_model/_stage.py
@@ -142,7 +142,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StageAlive:
+class StageHeartbeat:
     """Event: a heartbeat of a runner that has not answered yet."""
 
     attempt: _ids.AttemptId
--- a/libs/ragwort_node/ragwort_node/_core.py
+++ b/libs/ragwort_node/ragwort_node/_core.py
@@ -469,7 +469,7 @@
     def on_runner(
         self,
         event: model.StageChunk
-        | model.StageAlive
+        | model.StageHeartbeat
         | model.StageEnd
         | model.StageFailed,
         now: float,
@@ -478,7 +478,7 @@
         match event:
             case model.StageChunk():
                 self.engine.on_chunk(event, now)
-            case model.StageAlive():
+            case model.StageHeartbeat():
                 self.engine.on_alive(event, now)
             case model.StageEnd():
                 self._note_reply(event.attempt, event.report, now)
--- a/libs/ragwort_node/ragwort_node/_engine.py
+++ b/libs/ragwort_node/ragwort_node/_engine.py
@@ -282,7 +282,7 @@
                 execution, model.Chunk(event.seq, event.data), now
             )
 
-    def on_alive(self, event: model.StageAlive, now: float) -> None:
+    def on_alive(self, event: model.StageHeartbeat, now: float) -> None:
         """Note that a runner is still at work on an attempt."""
         found = self._find(event.attempt)
         if found is not None:
--- a/libs/ragwort_node/ragwort_node/_runner_client.py
+++ b/libs/ragwort_node/ragwort_node/_runner_client.py
@@ -15,7 +15,10 @@
 REPORT_TIMEOUT_S = 1.0
 
 RunnerEvent = (
-    model.StageChunk | model.StageAlive | model.StageEnd | model.StageFailed
+    model.StageChunk
+    | model.StageHeartbeat
+    | model.StageEnd
+    | model.StageFailed
 )
 
 
--- a/libs/ragwort_wire/ragwort_wire/__init__.py
+++ b/libs/ragwort_wire/ragwort_wire/__init__.py
@@ -34,10 +34,10 @@
 from ragwort_wire._runner_http import LoadRecord
 from ragwort_wire._runner_http import OrderRecord
 from ragwort_wire._runner_http import result_event
-from ragwort_wire._runner_http import ResultAlive
 from ragwort_wire._runner_http import ResultChunk
 from ragwort_wire._runner_http import ResultEnd
 from ragwort_wire._runner_http import ResultError
+from ragwort_wire._runner_http import ResultHeartbeat
 from ragwort_wire._runner_http import ResultRecord
 from ragwort_wire._runner_http import ResultRefused
 from ragwort_wire._stream import decode_event
@@ -76,10 +76,10 @@
     'PROBLEM_TYPE',
     'RequestBody',
     'result_event',
-    'ResultAlive',
     'ResultChunk',
     'ResultEnd',
     'ResultError',
+    'ResultHeartbeat',
     'ResultRecord',
     'ResultRefused',
     'STREAM_TYPE',
--- a/libs/ragwort_wire/ragwort_wire/_runner_http.py
+++ b/libs/ragwort_wire/ragwort_wire/_runner_http.py
@@ -45,7 +45,7 @@
     data: str
 
 
-class ResultAlive(msgspec.Struct, tag='heartbeat', tag_field='type'):
+class ResultHeartbeat(msgspec.Struct, tag='heartbeat', tag_field='type'):
     """The call is queued or running."""
 
     attempt: str
@@ -77,7 +77,7 @@
 
 
 ResultRecord = (
-    ResultChunk | ResultAlive | ResultEnd | ResultRefused | ResultError
+    ResultChunk | ResultHeartbeat | ResultEnd | ResultRefused | ResultError
 )
 
 _ENCODER = msgspec.json.Encoder()
@@ -161,15 +161,20 @@
 
 def result_event(
     attempt: model.AttemptId, record: ResultRecord
-) -> model.StageChunk | model.StageAlive | model.StageEnd | model.StageFailed:
+) -> (
+    model.StageChunk
+    | model.StageHeartbeat
+    | model.StageEnd
+    | model.StageFailed
+):
     """Return the event that a record means for the call named attempt."""
     match record:
         case ResultChunk():
             return model.StageChunk(
                 attempt, record.attempt, record.seq, record.data
             )
-        case ResultAlive():
-            return model.StageAlive(attempt)
+        case ResultHeartbeat():
+            return model.StageHeartbeat(attempt)
         case ResultEnd():
             return model.StageEnd(
                 attempt,
