--- a/libs/ragwort_lab/ragwort_lab/_runner_side.py
+++ b/libs/ragwort_lab/ragwort_lab/_runner_side.py
@@ -147,7 +147,7 @@
         if runner.alive:
             record = runner.core.load(self.world.now)
             report = wire.decode_load(wire.encode_json(record))
-        event = model.LoadRead(effect.runner.name, report)
+        event = model.LoadResult(effect.runner.name, report)
         epoch = slot.epoch
         self.world.after(
             2 * _world_parts.RUNNER_DELAY_S,
--- a/libs/ragwort_model/ragwort_model/__init__.py
+++ b/libs/ragwort_model/ragwort_model/__init__.py
@@ -90,8 +90,8 @@
 from ragwort_model._stage import Chunk
 from ragwort_model._stage import End
 from ragwort_model._stage import Heartbeat
-from ragwort_model._stage import LoadRead
 from ragwort_model._stage import LoadReport
+from ragwort_model._stage import LoadResult
 from ragwort_model._stage import NOT_RUN_FAILURES
 from ragwort_model._stage import ReadLoad
 from ragwort_model._stage import RunnerOrder
@@ -147,8 +147,8 @@
     'is_finite',
     'LimitSettings',
     'load_settings',
-    'LoadRead',
     'LoadReport',
+    'LoadResult',
     'MAX_DEADLINE_S',
     'MAX_HISTORY',
     'MemberStatus',
--- a/libs/ragwort_model/ragwort_model/_stage.py
+++ b/libs/ragwort_model/ragwort_model/_stage.py
@@ -112,7 +112,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LoadRead:
+class LoadResult:
     """Event: the answer to ReadLoad, None if there was none."""
 
     runner: str
--- a/libs/ragwort_node/ragwort_node/_core.py
+++ b/libs/ragwort_node/ragwort_node/_core.py
@@ -133,7 +133,7 @@
         return max(shortfalls, default=0.0)
 
     def on_load(
-        self, event: model.LoadRead, now: float
+        self, event: model.LoadResult, now: float
     ) -> list[_effects.Effect]:
         """Take a load report that was asked for."""
         runner = self.control.catalog.runners.get(event.runner)
--- a/libs/ragwort_node/ragwort_node/_daemon.py
+++ b/libs/ragwort_node/ragwort_node/_daemon.py
@@ -197,7 +197,7 @@
     def _on_runner(self, event: _runner_client.RunnerEvent) -> None:
         self.perform(self.core.on_runner(event, self.now()))
 
-    def _on_load(self, event: model.LoadRead) -> None:
+    def _on_load(self, event: model.LoadResult) -> None:
         self.perform(self.core.on_load(event, self.now()))
 
     def _on_store(self, result: model.StoreResult) -> None:
--- a/libs/ragwort_node/ragwort_node/_placement.py
+++ b/libs/ragwort_node/ragwort_node/_placement.py
@@ -81,7 +81,7 @@
         effects += [model.ReadLoad(runner) for runner in self.runners()]
         return effects
 
-    def on_load(self, event: model.LoadRead, now: float) -> None:
+    def on_load(self, event: model.LoadResult, now: float) -> None:
         """Take a runner's report."""
         if event.report is None:
             self.reports.pop(event.runner, None)
--- a/libs/ragwort_node/ragwort_node/_runner_client.py
+++ b/libs/ragwort_node/ragwort_node/_runner_client.py
@@ -87,7 +87,7 @@
         reactor: Any,
         connections: http.HttpClient,
         on_event: Callable[[RunnerEvent], None],
-        on_load: Callable[[model.LoadRead], None],
+        on_load: Callable[[model.LoadResult], None],
     ) -> None:
         """Report events of all calls to on_event, reports to on_load."""
         self.reactor = reactor
@@ -127,7 +127,7 @@
         answered.addTimeout(REPORT_TIMEOUT_S, self.reactor)
         answered.addErrback(lambda _: None)
         answered.addCallback(
-            lambda report: self.on_load(model.LoadRead(name, report))
+            lambda report: self.on_load(model.LoadResult(name, report))
         )
 
     @defer.inlineCallbacks
