--- a/libs/ragwort_fakes/ragwort_fakes/_runner.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_runner.py
@@ -142,7 +142,7 @@
             return False
         self.fencing = max(self.fencing, order.fencing)
         self.orders.append(order)
-        if order.wanted == model.WantedState.UNLOADED:
+        if order.desired == model.DesiredState.UNLOADED:
             self.loaded_at = math.inf
         elif math.isinf(self.loaded_at):
             self.loaded_at = now + self.shape.load_s
--- a/libs/ragwort_model/ragwort_model/__init__.py
+++ b/libs/ragwort_model/ragwort_model/__init__.py
@@ -88,6 +88,7 @@
 from ragwort_model._stage import CallRunner
 from ragwort_model._stage import CancelCall
 from ragwort_model._stage import Chunk
+from ragwort_model._stage import DesiredState
 from ragwort_model._stage import End
 from ragwort_model._stage import Heartbeat
 from ragwort_model._stage import LoadReport
@@ -101,7 +102,6 @@
 from ragwort_model._stage import StageEnd
 from ragwort_model._stage import StageFailed
 from ragwort_model._stage import StageHeartbeat
-from ragwort_model._stage import WantedState
 from ragwort_model._store import StoreCall
 from ragwort_model._store import StoredObject
 from ragwort_model._store import StoreResult
@@ -134,6 +134,7 @@
     'content_digest',
     'DaemonSettings',
     'describe_problem',
+    'DesiredState',
     'Document',
     'End',
     'EntryHost',
@@ -221,7 +222,6 @@
     'TargetConflictError',
     'TargetDocument',
     'VersionConflictError',
-    'WantedState',
     'WireError',
     'WorkspaceDocument',
 ]
--- a/libs/ragwort_model/ragwort_model/_stage.py
+++ b/libs/ragwort_model/ragwort_model/_stage.py
@@ -76,7 +76,7 @@
     attempt: _ids.AttemptId
 
 
-class WantedState(enum.StrEnum):
+class DesiredState(enum.StrEnum):
     """What an order wants a runner to be."""
 
     LOADED = 'loaded'
@@ -92,7 +92,7 @@
     """
 
     fencing: int
-    wanted: WantedState
+    desired: DesiredState
     expires_wall: float
 
 
--- a/libs/ragwort_node/ragwort_node/_placement.py
+++ b/libs/ragwort_node/ragwort_node/_placement.py
@@ -107,11 +107,11 @@
             wanted = not parked or runner.name in self.recalling
             if wanted and not report.loaded:
                 effects += self._order(
-                    runner, model.WantedState.LOADED, now, wall
+                    runner, model.DesiredState.LOADED, now, wall
                 )
             elif not wanted and report.loaded and self._is_idle(report, now):
                 effects += self._order(
-                    runner, model.WantedState.UNLOADED, now, wall
+                    runner, model.DesiredState.UNLOADED, now, wall
                 )
         return effects
 
@@ -124,7 +124,7 @@
     def _order(
         self,
         runner: model.Runner,
-        wanted: model.WantedState,
+        wanted: model.DesiredState,
         now: float,
         wall: float,
     ) -> list[PlacementEffect]:
--- a/libs/ragwort_wire/ragwort_wire/_runner_http.py
+++ b/libs/ragwort_wire/ragwort_wire/_runner_http.py
@@ -124,7 +124,7 @@
 def encode_order(order: model.RunnerOrder) -> bytes:
     """Return the body of an order."""
     return _ENCODER.encode(
-        OrderRecord(order.fencing, order.wanted.value, order.expires_wall)
+        OrderRecord(order.fencing, order.desired.value, order.expires_wall)
     )
 
 
@@ -132,7 +132,7 @@
     """Return the order of a body; raise WireError if it is not one."""
     try:
         record = msgspec.json.decode(body, type=OrderRecord)
-        wanted = model.WantedState(record.wanted)
+        wanted = model.DesiredState(record.wanted)
     except (msgspec.MsgspecError, ValueError) as error:
         raise model.WireError(f'damaged order: {error}') from None
     return model.RunnerOrder(record.fencing, wanted, record.expires_wall)
