--- a/features/support/adversary.py
+++ b/features/support/adversary.py
@@ -48,14 +48,14 @@
         for effect in effects:
             if isinstance(effect, model.StoreCall):
                 self.calls.append((host, self.epochs[host], effect))
-            elif isinstance(effect, model.SendPeer):
+            elif isinstance(effect, model.SendPeerMessage):
                 self._forward(effect)
             elif effect.status == model.ClaimStatus.GRANTED:
                 claim = effect.claim
                 owners = self.granted.setdefault(claim.key, set())
                 owners.add((claim.host, claim.nonce))
 
-    def _forward(self, effect: model.SendPeer) -> None:
+    def _forward(self, effect: model.SendPeerMessage) -> None:
         target = effect.address
         message = effect.message
         if isinstance(message, model.ClaimForward):
@@ -277,7 +277,7 @@
         peers = [h for h in HOSTS if h != host]
         self._queue(host, self.gossips[host].tick(self.now, peers))
 
-    def _queue(self, sender: str, sent: list[model.SendPeer]) -> None:
+    def _queue(self, sender: str, sent: list[model.SendPeerMessage]) -> None:
         for effect in sent:
             self.messages.append((sender, effect.address, effect.message))
 
@@ -346,7 +346,7 @@
                 entry, HOSTS, random.Random(host), 0.0, WALL
             )
 
-    def _queue(self, sender: str, sent: list[model.SendPeer]) -> None:
+    def _queue(self, sender: str, sent: list[model.SendPeerMessage]) -> None:
         for effect in sent:
             self.messages.append((sender, effect.address, effect.message))
 
--- a/features/support/relay_hosts.py
+++ b/features/support/relay_hosts.py
@@ -151,7 +151,7 @@
         self.world = world
         self.address = address
 
-    def send(self, effect: model.SendPeer, now: float) -> None:
+    def send(self, effect: model.SendPeerMessage, now: float) -> None:
         """Deliver a message a link's delay later."""
         frame = wire.decode_peer(
             wire.encode_peer(self.address, effect.message)
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -368,7 +368,7 @@
         for message in self.gossip.tick(now, self.members.peers()):
             self._send_peer(message)
 
-    def _send_peer(self, effect: model.SendPeer) -> None:
+    def _send_peer(self, effect: model.SendPeerMessage) -> None:
         self.peers.send(effect, self.reactor.seconds())
 
     def _stage_owners(self, service: str) -> list[str | None]:
@@ -389,7 +389,7 @@
 
     def _on_message(
         self, sender: str, message: model.PeerMessage, now: float, wall: float
-    ) -> list[model.SendPeer]:
+    ) -> list[model.SendPeerMessage]:
         """Hand a peer's message to whoever it is for."""
         members, gossip = self.members, self.gossip
         match message:
--- a/libs/ragwort_edge/ragwort_edge/_stage_owner.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_owner.py
@@ -53,7 +53,7 @@
         metrics: _metrics.Metrics,
         logger: Any,
         waits: relay.QueueWaits,
-        send_peer: Callable[[model.SendPeer], None],
+        send_peer: Callable[[model.SendPeerMessage], None],
         on_outcomes: OnOutcomes,
     ) -> None:
         """Bind to what calls runners; on_outcomes takes this host's own."""
@@ -101,7 +101,7 @@
         now = self.reactor.seconds()
         waits = self._known_waits(message.service_name)
         taken = model.StageTaken(message.group, waits)
-        self.send_peer(model.SendPeer(sender, taken))
+        self.send_peer(model.SendPeerMessage(sender, taken))
         if message.group in self.owned:
             return
         finished = self.finished.get(message.group)
@@ -442,7 +442,7 @@
             return
         waits = self._known_waits(owned.service)
         reply = model.StageReply(group_id, owned.service, outcomes, waits)
-        self.send_peer(model.SendPeer(owned.origin, reply))
+        self.send_peer(model.SendPeerMessage(owned.origin, reply))
 
     def queue_release(self, handles: list[str]) -> None:
         """Free results at their runners, several with one call."""
--- a/libs/ragwort_edge/ragwort_edge/_stage_service.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_service.py
@@ -61,7 +61,7 @@
         metrics: _metrics.Metrics,
         logger: Any,
         name: str,
-        send_peer: Callable[[model.SendPeer], None],
+        send_peer: Callable[[model.SendPeerMessage], None],
         owners_of: Callable[[str], Sequence[str | None]],
     ) -> None:
         """Bind to what calls runners and peers.
@@ -159,7 +159,7 @@
             group.result_bytes,
             group.failure_domain,
         )
-        self.send_peer(model.SendPeer(owner, message))
+        self.send_peer(model.SendPeerMessage(owner, message))
         self._set_timer(wanted, ACKNOWLEDGE_S, self._on_silent_owner)
 
     def on_taken(self, message: model.StageTaken) -> None:
@@ -210,7 +210,7 @@
             request=wanted.group.work[0].request_id,
         )
         drop = model.StageDrop(group_id, wanted.service)
-        self.send_peer(model.SendPeer(owner, drop, True))
+        self.send_peer(model.SendPeerMessage(owner, drop, True))
         another = self._owner(wanted.service)
         if another is None:
             self._make_here(wanted)
@@ -305,7 +305,7 @@
             self.owner.on_drop(model.StageDrop(group_id, wanted.service))
         else:
             drop = model.StageDrop(group_id, wanted.service)
-            self.send_peer(model.SendPeer(wanted.owner, drop))
+            self.send_peer(model.SendPeerMessage(wanted.owner, drop))
 
     def _stop_timer(self, wanted: _Wanted) -> None:
         if wanted.timer is not None and wanted.timer.active():
@@ -328,4 +328,4 @@
             if maker is None:
                 self.owner.on_release(message)
             else:
-                self.send_peer(model.SendPeer(maker, message))
+                self.send_peer(model.SendPeerMessage(maker, message))
--- a/libs/ragwort_lab/ragwort_lab/_matrix.py
+++ b/libs/ragwort_lab/ragwort_lab/_matrix.py
@@ -81,9 +81,9 @@
             is_write = isinstance(effect, model.StoreCall) and (
                 effect.verb == model.StoreVerb.PUT
             )
-            is_forward = isinstance(effect, model.SendPeer) and isinstance(
-                effect.message, model.ClaimForward
-            )
+            is_forward = isinstance(
+                effect, model.SendPeerMessage
+            ) and isinstance(effect.message, model.ClaimForward)
             return is_write or is_forward
         case 'claimed':
             return (
--- a/libs/ragwort_lab/ragwort_lab/_relay_world.py
+++ b/libs/ragwort_lab/ragwort_lab/_relay_world.py
@@ -64,7 +64,7 @@
             owners = self.owners(service)
             return [None if owner == name else owner for owner in owners]
 
-        def send_peer(effect: model.SendPeer) -> None:
+        def send_peer(effect: model.SendPeerMessage) -> None:
             self._send_peer(name, effect)
 
         caller: Any = self.network
@@ -102,7 +102,7 @@
             context,
         )
 
-    def _send_peer(self, sender: str, effect: model.SendPeer) -> None:
+    def _send_peer(self, sender: str, effect: model.SendPeerMessage) -> None:
         self.messages.append(effect.message)
         if self.lose_message(effect.message):
             return
--- a/libs/ragwort_lab/ragwort_lab/_state_bench.py
+++ b/libs/ragwort_lab/ragwort_lab/_state_bench.py
@@ -224,7 +224,7 @@
             if isinstance(effect, model.StoreCall):
                 self.largest = max(self.largest, len(effect.value or ''))
                 self._call(now, index, effect)
-            elif isinstance(effect, model.SendPeer):
+            elif isinstance(effect, model.SendPeerMessage):
                 self._send(now, index, effect)
             elif effect.status == model.ClaimStatus.GRANTED:
                 self.times.append(now - self.began[effect.claim.key])
@@ -240,7 +240,9 @@
             ),
         )
 
-    def _send(self, now: float, index: int, effect: model.SendPeer) -> None:
+    def _send(
+        self, now: float, index: int, effect: model.SendPeerMessage
+    ) -> None:
         target = int(effect.address.removeprefix('node-'))
         ledger = self.ledgers[target]
         message = effect.message
--- a/libs/ragwort_lab/ragwort_lab/_world.py
+++ b/libs/ragwort_lab/ragwort_lab/_world.py
@@ -294,7 +294,7 @@
             for hook in self.hooks:
                 hook(name, effect)
             match effect:
-                case model.SendPeer():
+                case model.SendPeerMessage():
                     self._send_peer(name, effect)
                 case model.CallRunner():
                     self.runner_side.call(name, slot, effect)
@@ -315,7 +315,7 @@
                 case node.Count():
                     self.trace.count(effect.name, effect.value)
 
-    def _send_peer(self, name: str, effect: model.SendPeer) -> None:
+    def _send_peer(self, name: str, effect: model.SendPeerMessage) -> None:
         target = self.names_by_address.get(effect.address)
         if target is None:
             return
--- a/libs/ragwort_membership/ragwort_membership/_membership.py
+++ b/libs/ragwort_membership/ragwort_membership/_membership.py
@@ -190,7 +190,7 @@
             accepting=accepting,
         )
 
-    def leave(self, now: float, wall: float) -> list[model.SendPeer]:
+    def leave(self, now: float, wall: float) -> list[model.SendPeerMessage]:
         """Announce that this node goes, and return the farewells."""
         self._replace_own(
             now,
@@ -200,7 +200,7 @@
         )
         return self.announce(wall)
 
-    def announce(self, wall: float) -> list[model.SendPeer]:
+    def announce(self, wall: float) -> list[model.SendPeerMessage]:
         """Return immediate messages that carry this node's new record."""
         peers = self.peers()
         targets = self.rng.sample(peers, min(URGENT_PEERS, len(peers)))
@@ -246,13 +246,13 @@
 
     def _ping(
         self, address: str, wall: float, fresh: bool = False, sequence: int = 0
-    ) -> model.SendPeer:
+    ) -> model.SendPeerMessage:
         if not sequence:
             self.sequence += 1
             sequence = self.sequence
         updates = self._take_updates()
         message = model.Ping(sequence, wall, self.view(), updates)
-        return model.SendPeer(address, message, fresh)
+        return model.SendPeerMessage(address, message, fresh)
 
     def view(self) -> int:
         """Return a hash over the nodes not known to be gone.
@@ -267,7 +267,7 @@
                 self.view_hash ^= _view_part(member.update)
         return self.view_hash
 
-    def tick(self, now: float, wall: float) -> list[model.SendPeer]:
+    def tick(self, now: float, wall: float) -> list[model.SendPeerMessage]:
         """Return the messages due now."""
         messages = self._join(now)
         messages += self._advance_probe(now, wall)
@@ -278,7 +278,7 @@
         self._expire(now)
         return messages
 
-    def _join(self, now: float) -> list[model.SendPeer]:
+    def _join(self, now: float) -> list[model.SendPeerMessage]:
         """Contact a seed that is not among the live nodes.
 
         Nodes that start together may each find another seed first; without
@@ -294,12 +294,14 @@
         if not missing:
             return []
         message = model.MemberSync(self._records(), True)
-        return [model.SendPeer(self.rng.choice(missing), message, True)]
+        return [model.SendPeerMessage(self.rng.choice(missing), message, True)]
 
     def _records(self) -> list[model.MemberUpdate]:
         return [self.members[name].update for name in sorted(self.members)]
 
-    def _start_probe(self, now: float, wall: float) -> list[model.SendPeer]:
+    def _start_probe(
+        self, now: float, wall: float
+    ) -> list[model.SendPeerMessage]:
         self.next_probe = now + PROBE_INTERVAL_S
         target = self._next_target()
         if target is None:
@@ -334,7 +336,9 @@
         self.rng.shuffle(names)
         return names
 
-    def _advance_probe(self, now: float, wall: float) -> list[model.SendPeer]:
+    def _advance_probe(
+        self, now: float, wall: float
+    ) -> list[model.SendPeerMessage]:
         probe = self.probe
         if probe is None:
             return []
@@ -355,11 +359,11 @@
             return [self._ping(probe.target, wall, True, probe.sequence)]
         return []
 
-    def _indirect(self, probe: _Probe) -> list[model.SendPeer]:
+    def _indirect(self, probe: _Probe) -> list[model.SendPeerMessage]:
         others = [a for a in self.peers() if a != probe.target]
         count = min(INDIRECT_PROBES, len(others))
         return [
-            model.SendPeer(
+            model.SendPeerMessage(
                 address,
                 model.IndirectPing(
                     probe.sequence, probe.target, self._take_updates()
@@ -402,7 +406,9 @@
             if now >= relay.expires_at:
                 del self.relays[sequence]
 
-    def _probe_dead(self, now: float, wall: float) -> list[model.SendPeer]:
+    def _probe_dead(
+        self, now: float, wall: float
+    ) -> list[model.SendPeerMessage]:
         """Probe one dead node now and then, so that a healed split shows."""
         jitter = self.rng.uniform(0.75, 1.25)
         self.next_dead_probe = now + DEAD_PROBE_INTERVAL_S * jitter
@@ -416,21 +422,21 @@
         update = self.rng.choice(dead)
         self.sequence += 1
         message = model.Ping(self.sequence, wall, self.view(), [update])
-        return [model.SendPeer(update.peer_address, message, True)]
+        return [model.SendPeerMessage(update.peer_address, message, True)]
 
     def on_ping(
         self, sender: str, message: model.Ping, now: float, wall: float
-    ) -> list[model.SendPeer]:
+    ) -> list[model.SendPeerMessage]:
         """Answer a probe."""
         self._note_clock(sender, message.wall, wall)
         self.merge(message.updates, now)
         ack = model.Ack(message.sequence, wall, self._take_updates())
-        replies = [model.SendPeer(sender, ack)]
+        replies = [model.SendPeerMessage(sender, ack)]
         return replies + self._reconcile(sender, message.view, now)
 
     def _reconcile(
         self, sender: str, view: int, now: float
-    ) -> list[model.SendPeer]:
+    ) -> list[model.SendPeerMessage]:
         """Exchange full lists, now and then, with a node that sees others.
 
         The pause grows with the list, so that the bytes per second stay
@@ -441,19 +447,21 @@
         pause_s = max(MIN_SYNC_S, len(self.members) * SYNC_S_PER_MEMBER)
         self.next_sync = now + pause_s * self.rng.uniform(0.75, 1.25)
         return [
-            model.SendPeer(sender, model.MemberSync(self._records(), True))
+            model.SendPeerMessage(
+                sender, model.MemberSync(self._records(), True)
+            )
         ]
 
     def on_ack(
         self, sender: str, message: model.Ack, now: float, wall: float
-    ) -> list[model.SendPeer]:
+    ) -> list[model.SendPeerMessage]:
         """Take the answer to a probe of ours or one made for a peer."""
         self._note_clock(sender, message.wall, wall)
         self.merge(message.updates, now)
         relay = self.relays.pop(message.sequence, None)
         if relay is not None:
             ack = model.Ack(relay.sequence, wall, self._take_updates())
-            return [model.SendPeer(relay.origin, ack)]
+            return [model.SendPeerMessage(relay.origin, ack)]
         probe = self.probe
         if probe is not None and probe.sequence == message.sequence:
             self.probe = None
@@ -462,7 +470,7 @@
 
     def on_indirect(
         self, sender: str, message: model.IndirectPing, now: float, wall: float
-    ) -> list[model.SendPeer]:
+    ) -> list[model.SendPeerMessage]:
         """Probe a target for a peer that cannot reach it."""
         self.merge(message.updates, now)
         self.sequence += 1
@@ -473,7 +481,7 @@
 
     def on_sync(
         self, sender: str, message: model.MemberSync, now: float
-    ) -> list[model.SendPeer]:
+    ) -> list[model.SendPeerMessage]:
         """Merge a full list and answer with ours if asked."""
         # What came in a full list spreads by full lists; as rumours, the
         # start of a large fleet would go on for minutes.
@@ -486,7 +494,9 @@
         if not message.reply:
             return []
         return [
-            model.SendPeer(sender, model.MemberSync(self._records(), False))
+            model.SendPeerMessage(
+                sender, model.MemberSync(self._records(), False)
+            )
         ]
 
     def _note_clock(self, sender: str, theirs: float, ours: float) -> None:
--- a/libs/ragwort_model/ragwort_model/__init__.py
+++ b/libs/ragwort_model/ragwort_model/__init__.py
@@ -61,7 +61,7 @@
 from ragwort_model._peer import PeerMessage
 from ragwort_model._peer import PieceOutcome
 from ragwort_model._peer import Ping
-from ragwort_model._peer import SendPeer
+from ragwort_model._peer import SendPeerMessage
 from ragwort_model._peer import ServiceWait
 from ragwort_model._peer import StageAsk
 from ragwort_model._peer import StageDrop
@@ -187,7 +187,7 @@
     'RunnerSettings',
     'select_settings',
     'SendOrder',
-    'SendPeer',
+    'SendPeerMessage',
     'service',
     'Service',
     'ServiceDocument',
--- a/libs/ragwort_model/ragwort_model/_peer.py
+++ b/libs/ragwort_model/ragwort_model/_peer.py
@@ -274,7 +274,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendPeer:
+class SendPeerMessage:
     """Effect: send a message to the node at address.
 
     fresh asks for a new connection because the present one is suspected
--- a/libs/ragwort_node/ragwort_node/_control.py
+++ b/libs/ragwort_node/ragwort_node/_control.py
@@ -13,7 +13,7 @@
 JANITOR_ROLE = 'janitor'
 TOMBSTONE_CHECK_S = 600.0
 
-ControlEffect = model.SendPeer | model.StoreCall | state.ClaimResolved
+ControlEffect = model.SendPeerMessage | model.StoreCall | state.ClaimResolved
 
 
 class ControlPlane:
--- a/libs/ragwort_node/ragwort_node/_core.py
+++ b/libs/ragwort_node/ragwort_node/_core.py
@@ -74,7 +74,7 @@
             return effect
         _, address, token = effect.subscriber.split('|', 2)
         event = wire.encode_event(effect.event).decode()
-        return model.SendPeer(address, model.FollowEvent(token, event))
+        return model.SendPeerMessage(address, model.FollowEvent(token, event))
 
     def next_due(self) -> float:
         """Return when tick must be called next."""
--- a/libs/ragwort_node/ragwort_node/_daemon.py
+++ b/libs/ragwort_node/ragwort_node/_daemon.py
@@ -145,7 +145,7 @@
                     self.runners.call(effect)
                 case model.CancelCall():
                     self.runners.cancel(effect)
-                case model.SendPeer():
+                case model.SendPeerMessage():
                     self.peers.send(effect, self.now())
                 case model.StoreCall():
                     self.store.call(effect)
--- a/libs/ragwort_node/ragwort_node/_effects.py
+++ b/libs/ragwort_node/ragwort_node/_effects.py
@@ -88,7 +88,7 @@
     model.CallRunner
     | model.CancelCall
     | model.AnswerCaller
-    | model.SendPeer
+    | model.SendPeerMessage
     | model.StoreCall
     | model.SendOrder
     | model.ReadLoad
--- a/libs/ragwort_node/ragwort_node/_relays.py
+++ b/libs/ragwort_node/ragwort_node/_relays.py
@@ -70,7 +70,7 @@
         message = model.Follow(
             relay.key, relay.token, relay.next_seq, relay.body_digest
         )
-        self.out.append(model.SendPeer(relay.address, message, fresh))
+        self.out.append(model.SendPeerMessage(relay.address, message, fresh))
 
     def on_event(self, message: model.FollowEvent, now: float) -> None:
         """Pass an event on if it is the next one of its stream."""
--- a/libs/ragwort_peers/ragwort_peers/_peer_links.py
+++ b/libs/ragwort_peers/ragwort_peers/_peer_links.py
@@ -137,7 +137,7 @@
 
 
 class PeerLinks:
-    """Carry out SendPeer; messages may be lost, never reordered."""
+    """Carry out SendPeerMessage; messages may be lost, never reordered."""
 
     def __init__(self, reactor: Any, own_address: str) -> None:
         """Start without links."""
@@ -146,7 +146,7 @@
         self.links: dict[str, _Link] = {}
         self.bytes_sent = 0
 
-    def send(self, effect: model.SendPeer, now: float) -> None:
+    def send(self, effect: model.SendPeerMessage, now: float) -> None:
         """Send a message, opening a link if there is none."""
         data = wire.encode_peer(self.own_address, effect.message)
         self.bytes_sent += len(data) + 4
--- a/libs/ragwort_state/ragwort_state/_gossip.py
+++ b/libs/ragwort_state/ragwort_state/_gossip.py
@@ -43,9 +43,11 @@
         for item in objects:
             self.hot[item.name] = rounds
 
-    def tick(self, now: float, peers: list[str]) -> list[model.SendPeer]:
+    def tick(
+        self, now: float, peers: list[str]
+    ) -> list[model.SendPeerMessage]:
         """Return the messages due now, for peers by address."""
-        messages: list[model.SendPeer] = []
+        messages: list[model.SendPeerMessage] = []
         if not peers:
             return messages
         if self.hot and now >= self.next_rumour:
@@ -55,10 +57,12 @@
             jitter = self.rng.uniform(0.75, 1.25)
             self.next_digest = now + DIGEST_INTERVAL_S * jitter
             digest = model.StateDigest(self.replica.root(), [])
-            messages.append(model.SendPeer(self.rng.choice(peers), digest))
+            messages.append(
+                model.SendPeerMessage(self.rng.choice(peers), digest)
+            )
         return messages
 
-    def _rumours(self, peers: list[str]) -> list[model.SendPeer]:
+    def _rumours(self, peers: list[str]) -> list[model.SendPeerMessage]:
         names = list(self.hot)
         objects = [self.replica.objects[n] for n in names if self._known(n)]
         for name in names:
@@ -67,7 +71,7 @@
                 del self.hot[name]
         targets = self.rng.sample(peers, min(RUMOUR_FANOUT, len(peers)))
         return [
-            model.SendPeer(target, push)
+            model.SendPeerMessage(target, push)
             for target in targets
             for push in _pushes(objects, synced=False)
         ]
@@ -77,23 +81,25 @@
 
     def on_digest(
         self, sender: str, digest: model.StateDigest
-    ) -> list[model.SendPeer]:
+    ) -> list[model.SendPeerMessage]:
         """Answer a digest: bucket hashes first, then their versions."""
         replica = self.replica
         if digest.root == replica.root():
             if replica.synced:
-                return [model.SendPeer(sender, model.StatePush([], True))]
+                return [
+                    model.SendPeerMessage(sender, model.StatePush([], True))
+                ]
             return []
         if not digest.buckets:
             mine = model.StateDigest(replica.root(), list(replica.hashes))
-            return [model.SendPeer(sender, mine)]
+            return [model.SendPeerMessage(sender, mine)]
         buckets = replica.differing_buckets(digest.buckets)
         versions = model.StateVersions(buckets, replica.versions(buckets))
-        return [model.SendPeer(sender, versions)]
+        return [model.SendPeerMessage(sender, versions)]
 
     def on_versions(
         self, sender: str, message: model.StateVersions
-    ) -> list[model.SendPeer]:
+    ) -> list[model.SendPeerMessage]:
         """Push what the sender lacks and ask for what it has newer."""
         theirs = {item.name: item.version for item in message.versions}
         buckets = [
@@ -107,11 +113,13 @@
         ]
         want = [name for name, v in theirs.items() if self._lacks(name, v)]
         replies = [
-            model.SendPeer(sender, push)
+            model.SendPeerMessage(sender, push)
             for push in _pushes(newer, synced=self.replica.synced)
         ]
         if want:
-            replies.append(model.SendPeer(sender, model.StateWant(want)))
+            replies.append(
+                model.SendPeerMessage(sender, model.StateWant(want))
+            )
         return replies
 
     def _lacks(self, name: str, version: int) -> bool:
@@ -120,7 +128,7 @@
 
     def on_want(
         self, sender: str, message: model.StateWant
-    ) -> list[model.SendPeer]:
+    ) -> list[model.SendPeerMessage]:
         """Push the objects asked for."""
         objects = [
             self.replica.objects[name]
@@ -128,7 +136,7 @@
             if self._known(name)
         ]
         pushes = _pushes(objects, synced=self.replica.synced)
-        return [model.SendPeer(sender, push) for push in pushes]
+        return [model.SendPeerMessage(sender, push) for push in pushes]
 
     def on_push(
         self, message: model.StatePush, now: float, peer_count: int
--- a/libs/ragwort_state/ragwort_state/_ledger.py
+++ b/libs/ragwort_state/ragwort_state/_ledger.py
@@ -107,7 +107,7 @@
     expires_at: float
 
 
-LedgerEffect = model.StoreCall | model.SendPeer | ClaimResolved
+LedgerEffect = model.StoreCall | model.SendPeerMessage | ClaimResolved
 
 
 class Ledger:
@@ -139,7 +139,9 @@
         self.forwards[claim.key, claim.nonce] = _Forward(
             claim, now + FORWARD_TIMEOUT_S, expires_at
         )
-        return [model.SendPeer(owner_address, model.ClaimForward(claim))]
+        return [
+            model.SendPeerMessage(owner_address, model.ClaimForward(claim))
+        ]
 
     def on_forward(
         self, sender: str, message: model.ClaimForward, now: float
@@ -289,7 +291,7 @@
     if waiter.reply_to is None:
         return ClaimResolved(claim, status, standing)
     reply = model.ClaimReply(claim.key, claim.nonce, status, standing)
-    return model.SendPeer(waiter.reply_to, reply)
+    return model.SendPeerMessage(waiter.reply_to, reply)
 
 
 class Janitor:
