--- a/libs/ragwort_membership/ragwort_membership/_directory.py
+++ b/libs/ragwort_membership/ragwort_membership/_directory.py
@@ -79,7 +79,7 @@
     known = members.role_cache.get((role, count, region))
     if known is None:
         names = _role_names(members, region)
-        known = model.rendezvous(role, names, count)
+        known = model.select_by_rendezvous(role, names, count)
         members.role_cache[role, count, region] = known
     return known
 
@@ -119,8 +119,8 @@
         least = OWNER_CAPACITY_SHARE * max(capacity.values(), default=0.0)
         strong = [name for name in names if capacity[name] >= least]
         weak = [name for name in names if capacity[name] < least]
-        known = model.rendezvous(key, strong, count)
-        known += model.rendezvous(key, weak, count - len(known))
+        known = model.select_by_rendezvous(key, strong, count)
+        known += model.select_by_rendezvous(key, weak, count - len(known))
         members.owner_cache[key, count] = known
     return known
 
--- a/libs/ragwort_model/ragwort_model/__init__.py
+++ b/libs/ragwort_model/ragwort_model/__init__.py
@@ -39,7 +39,7 @@
 from ragwort_model._errors import VersionConflictError
 from ragwort_model._errors import WireError
 from ragwort_model._hashing import content_digest
-from ragwort_model._hashing import rendezvous
+from ragwort_model._hashing import select_by_rendezvous
 from ragwort_model._hashing import stable_hash
 from ragwort_model._ids import AttemptId
 from ragwort_model._ids import new_nonce
@@ -175,7 +175,6 @@
     'PlatformSettings',
     'RagwortError',
     'ReadLoad',
-    'rendezvous',
     'Request',
     'request_key_at',
     'request_key_time',
@@ -185,6 +184,7 @@
     'RunnerDocument',
     'RunnerOrder',
     'RunnerSettings',
+    'select_by_rendezvous',
     'select_settings',
     'SendOrder',
     'SendPeerMessage',
--- a/libs/ragwort_model/ragwort_model/_hashing.py
+++ b/libs/ragwort_model/ragwort_model/_hashing.py
@@ -21,7 +21,9 @@
     return xxhash.xxh3_64_intdigest('\x00'.join(parts).encode())
 
 
-def rendezvous(key: str, names: Iterable[str], count: int = 1) -> list[str]:
+def select_by_rendezvous(
+    key: str, names: Iterable[str], count: int = 1
+) -> list[str]:
     """Return the count names with the highest score for key.
 
     Rendezvous hashing: when a name joins or goes, only the keys that it
--- a/libs/ragwort_policy/ragwort_policy/_routing.py
+++ b/libs/ragwort_policy/ragwort_policy/_routing.py
@@ -164,7 +164,7 @@
         return None
     by_name = {state.runner.name: state for state in runners}
     average = sum(state.inflight for state in runners) / len(runners)
-    names = model.rendezvous(context.affinity_key, by_name, 2)
+    names = model.select_by_rendezvous(context.affinity_key, by_name, 2)
     for name in names:
         state = by_name[name]
         crowded = state.occupancy(context.now) + 1 > state.slots
--- a/libs/ragwort_relay/ragwort_relay/_prompts.py
+++ b/libs/ragwort_relay/ragwort_relay/_prompts.py
@@ -90,7 +90,7 @@
     home = None
     if shared:
         names = [runner.name for runner in runners]
-        home = model.rendezvous(shared[-1].part, names)[0]
+        home = model.select_by_rendezvous(shared[-1].part, names)[0]
     own_tokens = sum(part.tokens for part in prompt[len(shared) :])
     estimates: dict[str, float] = {}
     for runner in runners:
