--- a/libs/ragwort_lab/ragwort_lab/_runner_side.py
+++ b/libs/ragwort_lab/ragwort_lab/_runner_side.py
@@ -103,7 +103,7 @@
                 self._fail_call(opened, model.CallFailure.LOST)
                 continue
             assert reply.record is not None
-            event = wire.result_event(opened.attempt, reply.record)
+            event = wire.to_stage_event(opened.attempt, reply.record)
             self._to_node(opened, event)
         self._arm_runner(runner, slot)
 
--- a/libs/ragwort_model/ragwort_model/__init__.py
+++ b/libs/ragwort_model/ragwort_model/__init__.py
@@ -1,6 +1,5 @@
 """Domain types, identifiers, border models and errors of ragwortworks."""
 
-from ragwort_model._documents import class_of_work
 from ragwort_model._documents import ClassDocument
 from ragwort_model._documents import describe_problem
 from ragwort_model._documents import Document
@@ -11,11 +10,12 @@
 from ragwort_model._documents import parse_document
 from ragwort_model._documents import PipelineDocument
 from ragwort_model._documents import PlacementDocument
-from ragwort_model._documents import runner
 from ragwort_model._documents import RunnerDocument
-from ragwort_model._documents import service
 from ragwort_model._documents import ServiceDocument
 from ragwort_model._documents import TargetDocument
+from ragwort_model._documents import to_class_of_work
+from ragwort_model._documents import to_runner
+from ragwort_model._documents import to_service
 from ragwort_model._documents import WorkspaceDocument
 from ragwort_model._domain import ClassOfWork
 from ragwort_model._domain import EntryHost
@@ -127,7 +127,6 @@
     'ClaimForward',
     'ClaimReply',
     'ClaimStatus',
-    'class_of_work',
     'ClassDocument',
     'ClassOfWork',
     'ConfigurationError',
@@ -180,7 +179,6 @@
     'request_key_time',
     'RequestError',
     'Runner',
-    'runner',
     'RunnerDocument',
     'RunnerOrder',
     'RunnerSettings',
@@ -188,7 +186,6 @@
     'select_settings',
     'SendOrder',
     'SendPeerMessage',
-    'service',
     'Service',
     'ServiceDocument',
     'ServiceKind',
@@ -221,6 +218,9 @@
     'Target',
     'TargetConflictError',
     'TargetDocument',
+    'to_class_of_work',
+    'to_runner',
+    'to_service',
     'VersionConflictError',
     'WireError',
     'WorkspaceDocument',
--- a/libs/ragwort_model/ragwort_model/_documents.py
+++ b/libs/ragwort_model/ragwort_model/_documents.py
@@ -136,7 +136,7 @@
     return document
 
 
-def class_of_work(document: ClassDocument) -> _domain.ClassOfWork:
+def to_class_of_work(document: ClassDocument) -> _domain.ClassOfWork:
     """Return the data class for a validated class of work."""
     target = document.target
     return _domain.ClassOfWork(
@@ -146,12 +146,12 @@
     )
 
 
-def runner(document: RunnerDocument) -> _domain.Runner:
+def to_runner(document: RunnerDocument) -> _domain.Runner:
     """Return the data class for a validated runner."""
     return _domain.Runner(**document.model_dump())
 
 
-def service(document: ServiceDocument) -> _domain.Service:
+def to_service(document: ServiceDocument) -> _domain.Service:
     """Return the data class for a validated service."""
     return _domain.Service(**document.model_dump())
 
--- a/libs/ragwort_node/ragwort_node/_runner_client.py
+++ b/libs/ragwort_node/ragwort_node/_runner_client.py
@@ -54,7 +54,7 @@
         except model.WireError as error:
             self.fail(model.CallFailure.PROTOCOL, str(error))
             return
-        event = wire.result_event(self.attempt, record)
+        event = wire.to_stage_event(self.attempt, record)
         self.over = isinstance(event, model.StageFailed) or (
             isinstance(event, model.StageEnd)
             and event.echo == str(self.attempt)
--- a/libs/ragwort_state/ragwort_state/_catalog.py
+++ b/libs/ragwort_state/ragwort_state/_catalog.py
@@ -70,20 +70,20 @@
     def _put(self, name: str, document: model.Document) -> None:
         match document:
             case model.ClassDocument():
-                self.classes[document.name] = model.class_of_work(document)
+                self.classes[document.name] = model.to_class_of_work(document)
             case model.PipelineDocument():
                 self.pipelines[document.name] = model.Pipeline(
                     document.name, tuple(document.stages)
                 )
             case model.ServiceDocument():
-                self.services[document.name] = model.service(document)
+                self.services[document.name] = model.to_service(document)
             case model.WorkspaceDocument():
                 self.workspaces.add(document.name)
             case model.PlacementDocument():
                 self.standby[document.name] = frozenset(document.standby)
             case model.RunnerDocument():
                 self._remove(name)
-                runner = model.runner(document)
+                runner = model.to_runner(document)
                 self.runners[runner.name] = runner
                 self.runners_by_service.setdefault(runner.service, {})[
                     runner.name
--- a/libs/ragwort_wire/ragwort_wire/__init__.py
+++ b/libs/ragwort_wire/ragwort_wire/__init__.py
@@ -33,13 +33,13 @@
 from ragwort_wire._runner_http import encode_result
 from ragwort_wire._runner_http import LoadRecord
 from ragwort_wire._runner_http import OrderRecord
-from ragwort_wire._runner_http import result_event
 from ragwort_wire._runner_http import ResultChunk
 from ragwort_wire._runner_http import ResultEnd
 from ragwort_wire._runner_http import ResultError
 from ragwort_wire._runner_http import ResultHeartbeat
 from ragwort_wire._runner_http import ResultRecord
 from ragwort_wire._runner_http import ResultRefused
+from ragwort_wire._runner_http import to_stage_event
 from ragwort_wire._stream import decode_event
 from ragwort_wire._stream import encode_event
 
@@ -75,7 +75,6 @@
     'Problem',
     'PROBLEM_TYPE',
     'RequestBody',
-    'result_event',
     'ResultChunk',
     'ResultEnd',
     'ResultError',
@@ -83,6 +82,7 @@
     'ResultRecord',
     'ResultRefused',
     'STREAM_TYPE',
+    'to_stage_event',
     'UNAVAILABLE_CODE',
     'WIRE_VERSION',
     'WriteRecord',
--- a/libs/ragwort_wire/ragwort_wire/_runner_http.py
+++ b/libs/ragwort_wire/ragwort_wire/_runner_http.py
@@ -159,7 +159,7 @@
     )
 
 
-def result_event(
+def to_stage_event(
     attempt: model.AttemptId, record: ResultRecord
 ) -> (
     model.StageChunk
