--- a/libs/ragwort_client/ragwort_client/_client.py
+++ b/libs/ragwort_client/ragwort_client/_client.py
@@ -227,7 +227,7 @@
         ends_at = started_at + deadline_s + DEADLINE_MARGIN_S
         progress = _Progress(key, started_at, ends_at)
         body = wire.encode_json(
-            wire.CallerBody(
+            wire.RequestRecord(
                 class_of_work,
                 workspace,
                 key,
--- a/libs/ragwort_fakes/ragwort_fakes/_platform_http.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_platform_http.py
@@ -96,7 +96,9 @@
     def _write(
         self, request: server.Request, result: model.StoreResult
     ) -> None:
-        code = wire.CODE_OF_STATUS.get(result.status, wire.UNAVAILABLE_CODE)
+        code = wire.HTTP_CODE_BY_STATUS.get(
+            result.status, wire.HTTP_SERVICE_UNAVAILABLE
+        )
         request.setResponseCode(code)
         request.setHeader(b'content-type', b'application/json')
         request.write(wire.encode_store_result(result))
--- a/libs/ragwort_lab/ragwort_lab/_callers.py
+++ b/libs/ragwort_lab/ragwort_lab/_callers.py
@@ -42,7 +42,7 @@
             name, key, class_of_work, text, deadline_s
         )
         body = wire.encode_json(
-            wire.CallerBody(
+            wire.RequestRecord(
                 class_of_work,
                 workspace,
                 key,
--- a/libs/ragwort_lab/ragwort_lab/_relay_bench.py
+++ b/libs/ragwort_lab/ragwort_lab/_relay_bench.py
@@ -226,7 +226,7 @@
 
 def _caller_body(class_of_work: str, text: str) -> bytes:
     return wire.encode_json(
-        wire.CallerBody(
+        wire.RequestRecord(
             class_of_work, WORKSPACE, model.new_request_key(), 60_000, text
         )
     )
--- a/libs/ragwort_node/ragwort_node/_caller_http.py
+++ b/libs/ragwort_node/ragwort_node/_caller_http.py
@@ -269,7 +269,7 @@
         caller = _argument(request, 'caller', request.getClientAddress().host)
         core = self.service.core
         entries = [
-            wire.EntryRecord(m.name, m.caller_address, m.failure_domain)
+            wire.EntryAddressRecord(m.name, m.caller_address, m.failure_domain)
             for m in core.addresses(domain, caller)
         ]
         record = wire.AddressesRecord(
--- a/libs/ragwort_wire/ragwort_wire/__init__.py
+++ b/libs/ragwort_wire/ragwort_wire/__init__.py
@@ -2,26 +2,26 @@
 
 from ragwort_wire._caller_http import AddressesRecord
 from ragwort_wire._caller_http import AnswerRecord
-from ragwort_wire._caller_http import CallerBody
 from ragwort_wire._caller_http import decode_addresses
 from ragwort_wire._caller_http import encode_json
-from ragwort_wire._caller_http import EntryRecord
+from ragwort_wire._caller_http import EntryAddressRecord
 from ragwort_wire._caller_http import parse_request
 from ragwort_wire._caller_http import Problem
 from ragwort_wire._caller_http import PROBLEM_TYPE
 from ragwort_wire._caller_http import RequestBody
+from ragwort_wire._caller_http import RequestRecord
 from ragwort_wire._caller_http import STREAM_TYPE
 from ragwort_wire._peer_codec import decode_peer
 from ragwort_wire._peer_codec import encode_peer
 from ragwort_wire._peer_codec import MAX_FRAME_BYTES
 from ragwort_wire._peer_codec import PeerFrame
 from ragwort_wire._peer_codec import WIRE_VERSION
-from ragwort_wire._platform_http import CODE_OF_STATUS
 from ragwort_wire._platform_http import decode_store_result
 from ragwort_wire._platform_http import decode_write
 from ragwort_wire._platform_http import encode_store_result
 from ragwort_wire._platform_http import encode_write
-from ragwort_wire._platform_http import UNAVAILABLE_CODE
+from ragwort_wire._platform_http import HTTP_CODE_BY_STATUS
+from ragwort_wire._platform_http import HTTP_SERVICE_UNAVAILABLE
 from ragwort_wire._platform_http import WriteRecord
 from ragwort_wire._runner_http import CallRecord
 from ragwort_wire._runner_http import decode_call
@@ -46,9 +46,7 @@
 __all__ = [
     'AddressesRecord',
     'AnswerRecord',
-    'CallerBody',
     'CallRecord',
-    'CODE_OF_STATUS',
     'decode_addresses',
     'decode_call',
     'decode_event',
@@ -66,7 +64,9 @@
     'encode_result',
     'encode_store_result',
     'encode_write',
-    'EntryRecord',
+    'EntryAddressRecord',
+    'HTTP_CODE_BY_STATUS',
+    'HTTP_SERVICE_UNAVAILABLE',
     'LoadRecord',
     'MAX_FRAME_BYTES',
     'OrderRecord',
@@ -75,6 +75,7 @@
     'Problem',
     'PROBLEM_TYPE',
     'RequestBody',
+    'RequestRecord',
     'ResultChunk',
     'ResultEnd',
     'ResultError',
@@ -83,7 +84,6 @@
     'ResultRefused',
     'STREAM_TYPE',
     'to_stage_event',
-    'UNAVAILABLE_CODE',
     'WIRE_VERSION',
     'WriteRecord',
 ]
--- a/libs/ragwort_wire/ragwort_wire/_caller_http.py
+++ b/libs/ragwort_wire/ragwort_wire/_caller_http.py
@@ -28,7 +28,7 @@
     input: str = pydantic.Field(max_length=MAX_INPUT_CHARS)
 
 
-class CallerBody(msgspec.Struct):
+class RequestRecord(msgspec.Struct):
     """Body of POST /v1/requests as a caller writes it."""
 
     class_of_work: str
@@ -50,7 +50,7 @@
     retry_after_s: float | None = None
 
 
-class EntryRecord(msgspec.Struct):
+class EntryAddressRecord(msgspec.Struct):
     """One entry address."""
 
     host: str
@@ -61,7 +61,7 @@
 class AddressesRecord(msgspec.Struct):
     """Answer of GET /v1/addresses, best first; ttl_s is how long to use it."""
 
-    addresses: list[EntryRecord]
+    addresses: list[EntryAddressRecord]
     ttl_s: float
     version: int
 
--- a/libs/ragwort_wire/ragwort_wire/_platform_http.py
+++ b/libs/ragwort_wire/ragwort_wire/_platform_http.py
@@ -27,15 +27,17 @@
     revision: int
 
 
-_STATUS_OF_CODE = {
+_STATUS_BY_HTTP_CODE = {
     200: model.StoreStatus.OK,
     404: model.StoreStatus.NOT_FOUND,
     409: model.StoreStatus.CONFLICT,
     410: model.StoreStatus.GONE,
     429: model.StoreStatus.RATE_LIMITED,
 }
-CODE_OF_STATUS = {status: code for code, status in _STATUS_OF_CODE.items()}
-UNAVAILABLE_CODE = 503
+HTTP_CODE_BY_STATUS = {
+    status: code for code, status in _STATUS_BY_HTTP_CODE.items()
+}
+HTTP_SERVICE_UNAVAILABLE = 503
 
 
 def encode_store_result(result: model.StoreResult) -> bytes:
@@ -50,7 +52,7 @@
 
 def decode_store_result(op: str, code: int, body: bytes) -> model.StoreResult:
     """Return the result of the call op; damaged answers are UNAVAILABLE."""
-    status = _STATUS_OF_CODE.get(code, model.StoreStatus.UNAVAILABLE)
+    status = _STATUS_BY_HTTP_CODE.get(code, model.StoreStatus.UNAVAILABLE)
     if status == model.StoreStatus.UNAVAILABLE:
         return model.StoreResult(op, status)
     try:
