--- a/libs/ragwort_http/ragwort_http/_client.py
+++ b/libs/ragwort_http/ragwort_http/_client.py
@@ -19,7 +19,7 @@
 IDLE_TIMEOUT_S = 30.0
 MAX_LINE_BYTES = 1024 * 1024
 
-NOT_CONNECTED = (
+CONNECT_ERRORS = (
     error.ConnectError,
     error.ConnectionRefusedError,
     error.TimeoutError,
--- a/libs/ragwort_node/ragwort_node/_runner_client.py
+++ b/libs/ragwort_node/ragwort_node/_runner_client.py
@@ -65,7 +65,7 @@
         self.fail(model.CallFailure.LOST, 'the reply broke off')
 
     def on_error(self, reason: failure.Failure) -> None:
-        if reason.check(*http.NOT_CONNECTED):
+        if reason.check(*http.CONNECT_ERRORS):
             kind = model.CallFailure.UNREACHABLE
         else:
             kind = model.CallFailure.LOST
