--- a/libs/ragwort_model/ragwort_model/_stage.py
+++ b/libs/ragwort_model/ragwort_model/_stage.py
@@ -121,20 +121,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageChunk:
-    """Event: one chunk as read from a runner, echo still unchecked."""
+    """Event: one chunk from a runner, echoed attempt not yet checked."""
 
     attempt: _ids.AttemptId
-    echo: str
+    echoed_attempt: str
     seq: int
     data: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageEnd:
-    """Event: end record of a stage result, echo still unchecked."""
+    """Event: end of a stage result, echoed attempt not yet checked."""
 
     attempt: _ids.AttemptId
-    echo: str
+    echoed_attempt: str
     count: int
     digest: str
     busy_s: float
--- a/libs/ragwort_node/ragwort_node/_engine.py
+++ b/libs/ragwort_node/ragwort_node/_engine.py
@@ -239,7 +239,7 @@
         self, event: model.StageChunk | model.StageEnd
     ) -> tuple[_execution.Execution, _execution.Attempt] | None:
         """Return the current attempt that a record names, and count others."""
-        if event.echo != str(event.attempt):
+        if event.echoed_attempt != str(event.attempt):
             self.out.append(_effects.Count('reply.crossed'))
             return None
         found = self._find(event.attempt)
--- a/libs/ragwort_node/ragwort_node/_runner_client.py
+++ b/libs/ragwort_node/ragwort_node/_runner_client.py
@@ -57,7 +57,7 @@
         event = wire.to_stage_event(self.attempt, record)
         self.over = isinstance(event, model.StageFailed) or (
             isinstance(event, model.StageEnd)
-            and event.echo == str(self.attempt)
+            and event.echoed_attempt == str(self.attempt)
         )
         self.on_event(event)
 
