--- a/features/steps/order_of_waiting_steps.py
+++ b/features/steps/order_of_waiting_steps.py
@@ -124,13 +124,13 @@
 
 
 def next_calls(
-    context: Any, following_wait_s: float = 0.0
+    context: Any, downstream_wait_s: float = 0.0
 ) -> list[relay.BatchCall]:
     """Queue the groups and form the calls for one idle runner."""
-    gatherer = relay.Gatherer(LIMITS)
+    batcher = relay.Batcher(LIMITS)
     for group in context.groups:
-        gatherer.add(group)
-    return gatherer.next_calls(runners(), 0.0, following_wait_s)
+        batcher.add(group)
+    return batcher.next_calls(runners(), 0.0, downstream_wait_s)
 
 
 def runners() -> list[relay.FleetRunner]:
@@ -157,18 +157,16 @@
 @then('{count:d} calls serve them all and the timely ones come first')
 def check_all_served(context: Any, count: int) -> None:
     """Take calls until the queue is empty; each answer frees the runner."""
-    gatherer = relay.Gatherer(relay.BatchLimits(2, 0.16, 0.01, 1e9, 4.0))
+    batcher = relay.Batcher(relay.BatchLimits(2, 0.16, 0.01, 1e9, 4.0))
     for group in context.groups:
-        gatherer.add(group)
+        batcher.add(group)
     served: list[str] = []
     idle = runners()
     for _ in range(count):
-        (call,) = gatherer.next_calls(idle, 0.0)
+        (call,) = batcher.next_calls(idle, 0.0)
         served += [piece.group.group_id for piece in call.pieces]
-        gatherer.on_answer(
-            call, [f'h{p.work.piece}' for p in call.pieces], 0.0
-        )
-    assert not gatherer.queue
+        batcher.on_answer(call, [f'h{p.work.piece}' for p in call.pieces], 0.0)
+    assert not batcher.queue
     assert served[0] == context.groups[-1].group_id, served
 
 
@@ -194,11 +192,11 @@
 @then('what is due in {due_s} waits {waits_s}')
 def check_due_waits(context: Any, due_s: str, waits_s: str) -> None:
     """Ask for queueing times; a call of four pieces starts at once."""
-    gatherer = relay.Gatherer(LIMITS)
+    batcher = relay.Batcher(LIMITS)
     for group in context.groups:
-        gatherer.add(group)
+        batcher.add(group)
     waits = relay.QueueWaits()
-    waits.hear('main', gatherer.queue_wait(runners(), 0.0))
+    waits.hear('main', batcher.queue_wait(runners(), 0.0))
     for due, expected in zip(seconds(due_s), seconds(waits_s), strict=True):
         found = waits.wait_s('main', due, 0.0)
         assert abs(found - expected) < 1e-9, (due, found)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -193,7 +193,7 @@
     assert abs(route.target_s - 0.92) < 1e-9
     assert [s.service for s in route.shares] == ['engine', 'other']
     assert [s.after for s in route.stages] == [(), (), (1,)]
-    assert configuration.services['portal'].batch.room_bytes == 22e6
+    assert configuration.services['portal'].batch_limits.storage_bytes == 22e6
 
 
 @then('its keys lead to their workspace and an unknown field is ignored')
@@ -430,7 +430,7 @@
     re.IGNORECASE,
 )
 DECIDING = re.compile(
-    r'relay\.(admit|forecast|next_step|Attempts|RetryBudget|Gatherer'
+    r'relay\.(admit|forecast|next_step|Attempts|RetryBudget|Batcher'
     r'|choose_\w+|retry_after_s|StageRun|PromptMemory|timely_groups'
     r'|QueueWaits|stage_targets)\b'
 )
--- a/features/steps/relay_decision_steps.py
+++ b/features/steps/relay_decision_steps.py
@@ -332,13 +332,13 @@
 def queue_groups(context: Any, long: int, short: int) -> None:
     """Queue the short prompt's group first."""
     limits = relay.BatchLimits(2, 0.1, 0.01, 1e9, 4.0)
-    context.gatherer = relay.Gatherer(limits)
+    context.batcher = relay.Batcher(limits)
     for name, tokens in (('short', short), ('long', long)):
         prompt = (relay.PromptPart('a', tokens),)
         due = 2.0 - relay.first_event_s(prompt)
         work = [relay.PieceWork(name, 0, piece, 'k', ()) for piece in (0, 1)]
         group = relay.PieceGroup(name, work, due, 5.0, 1, 1.0, '')
-        context.gatherer.add(group)
+        context.batcher.add(group)
 
 
 @then("the long prompt's pieces are in the first call")
@@ -347,7 +347,7 @@
     world = lab.RelayWorld(hosts=1)
     world.add_scripted('main', 1)
     runners = world.hosts[0].catalog.fleet.usable('main', 0.0)
-    (call,) = context.gatherer.next_calls(runners, 0.0)
+    (call,) = context.batcher.next_calls(runners, 0.0)
     assert [p.work.request_id for p in call.pieces] == ['long', 'long']
 
 
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -360,7 +360,7 @@
                 problem=self.catalog.problems.get(item.name),
                 in_force=configuration.version if configuration else None,
             )
-        for service in list(self.stages.owner.gatherers):
+        for service in list(self.stages.owner.batchers):
             self.stages.owner.pump_soon(service, 0.0)
 
     def _gossip_now(self) -> None:
--- a/libs/ragwort_edge/ragwort_edge/_stage_owner.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_owner.py
@@ -72,7 +72,7 @@
         self.finished: collections.OrderedDict[str, _Owned] = (
             collections.OrderedDict()
         )
-        self.gatherers: dict[str, relay.Gatherer] = {}
+        self.batchers: dict[str, relay.Batcher] = {}
         self.releases: dict[str, list[str]] = {}
         self.release_timer: Any = None
         self.room_checks: dict[str, float] = {}
@@ -80,11 +80,11 @@
 
     def note_wait(self, service: str) -> None:
         """Bring what is known of a queue at this host up to date."""
-        gatherer = self._gatherer(service)
-        if gatherer is not None:
+        batcher = self._batcher(service)
+        if batcher is not None:
             now = self.reactor.seconds()
             runners = self.catalog.fleet.usable(service, now)
-            self.waits.hear(service, gatherer.queue_wait(runners, now))
+            self.waits.hear(service, batcher.queue_wait(runners, now))
 
     def _known_waits(self, service: str) -> list[model.ServiceWait]:
         self.note_wait(service)
@@ -128,37 +128,37 @@
     def on_drop(self, message: model.StageDrop) -> None:
         """Drop a group that nobody wants any more."""
         self.owned.pop(message.group, None)
-        gatherer = self._gatherer(message.service_name)
-        if gatherer is not None:
-            gatherer.drop(message.group)
+        batcher = self._batcher(message.service_name)
+        if batcher is not None:
+            batcher.drop(message.group)
 
     def on_release(self, message: model.StageRelease) -> None:
         """Free results at their runners."""
         self.queue_release(message.handles)
 
-    def _gatherer(self, service: str) -> relay.Gatherer | None:
+    def _batcher(self, service: str) -> relay.Batcher | None:
         configuration = self.catalog.configuration
         spec = configuration.services.get(service) if configuration else None
-        if spec is None or spec.batch is None:
-            return self.gatherers.get(service)
-        known = self.gatherers.get(service)
+        if spec is None or spec.batch_limits is None:
+            return self.batchers.get(service)
+        known = self.batchers.get(service)
         if known is None:
-            known = relay.Gatherer(spec.batch, self.choose_timely)
-            self.gatherers[service] = known
-        known.limits = spec.batch
+            known = relay.Batcher(spec.batch_limits, self.choose_timely)
+            self.batchers[service] = known
+        known.limits = spec.batch_limits
         return known
 
     def gather(
         self, service: str, group: relay.PieceGroup, origin: str | None
     ) -> None:
         """Queue a group; its outcomes go to origin, None for this host."""
-        gatherer = self._gatherer(service)
+        batcher = self._batcher(service)
         self.owned[group.group_id] = _Owned(service, origin, len(group.work))
-        if gatherer is None:
+        if batcher is None:
             self._settle(group, [w.piece for w in group.work], 'error')
             return
         self.budget.on_request(service, self.reactor.seconds())
-        gatherer.add(group)
+        batcher.add(group)
         self.pump_soon(service, 0.0)
 
     def pump_soon(self, service: str, delay_s: float) -> None:
@@ -172,30 +172,32 @@
             delay_s, self._pump, service
         )
 
-    def _check_room(self, gatherer: relay.Gatherer, runners: Any) -> None:
+    def _check_room(self, batcher: relay.Batcher, runners: Any) -> None:
         """Ask runners for their room where others' results may lie."""
         now = self.reactor.seconds()
         for runner in runners:
             due = self.room_checks.get(runner.name, -math.inf)
-            if now < due or not gatherer.is_room_unclear(runner.name, now):
+            if now < due or not batcher.may_hold_foreign_results(
+                runner.name, now
+            ):
                 continue
             self.room_checks[runner.name] = now + ROOM_CHECK_S
             request = self.dialect.room_request(runner.address)
             done = _client.fetch(
                 self.caller, runner.address, request, ROOM_CHECK_S
             )
-            done.addCallback(self._on_room, gatherer, runner)
+            done.addCallback(self._on_room, batcher, runner)
             done.addErrback(self._on_room_error, runner)
 
     def _on_room(
         self,
         response: _messages.HttpResponse,
-        gatherer: relay.Gatherer,
+        batcher: relay.Batcher,
         runner: relay.FleetRunner,
     ) -> None:
         free_bytes = self.dialect.read_room(response)
-        gatherer.on_room(runner.name, free_bytes)
-        foreign = gatherer.foreign_bytes[runner.name]
+        batcher.on_free_bytes(runner.name, free_bytes)
+        foreign = batcher.foreign_bytes[runner.name]
         if foreign:
             self.logger.info(
                 'foreign-results',
@@ -213,49 +215,49 @@
         )
 
     def _pump(self, service: str) -> None:
-        gatherer = self._gatherer(service)
-        if gatherer is None:
+        batcher = self._batcher(service)
+        if batcher is None:
             return
         now = self.reactor.seconds()
         runners = self.catalog.fleet.usable(service, now)
-        for piece in gatherer.take_hopeless(runners, now):
+        for piece in batcher.remove_too_late(runners, now):
             self._settle(piece.group, [piece.work.piece], 'late')
-        if gatherer.queue:
-            self._check_room(gatherer, runners)
+        if batcher.queue:
+            self._check_room(batcher, runners)
         following_s = self._following_wait_s(service, now)
-        for call in gatherer.next_calls(runners, now, following_s):
-            self._send(service, gatherer, call)
-        if gatherer.queue:
+        for call in batcher.next_calls(runners, now, following_s):
+            self._send(service, batcher, call)
+        if batcher.queue:
             self.pump_soon(service, PUMP_S)
 
     def _following_wait_s(self, service: str, now: float) -> float:
         configuration = self.catalog.configuration
         if configuration is None:
             return 0.0
-        following = configuration.following_services.get(service, ())
+        following = configuration.downstream_services.get(service, ())
         return self.waits.longest_late_s(following, now)
 
     def _send(
-        self, service: str, gatherer: relay.Gatherer, call: relay.BatchCall
+        self, service: str, batcher: relay.Batcher, call: relay.BatchCall
     ) -> None:
         request = self.dialect.stage_request(call, self.reactor.seconds())
         call.runner.state.on_dispatch()
         for piece in call.pieces:
             piece.group.sends += 1
-        self._log_call(service, gatherer, call)
+        self._log_call(service, batcher, call)
         done = _client.fetch(
-            self.caller, call.runner.address, request, call.patience_s
+            self.caller, call.runner.address, request, call.timeout_s
         )
         done.addCallbacks(
             self._on_answer,
             self._on_error,
-            callbackArgs=(service, gatherer, call),
-            errbackArgs=(service, gatherer, call),
+            callbackArgs=(service, batcher, call),
+            errbackArgs=(service, batcher, call),
         )
         done.addErrback(self._on_defect)
 
     def _log_call(
-        self, service: str, gatherer: relay.Gatherer, call: relay.BatchCall
+        self, service: str, batcher: relay.Batcher, call: relay.BatchCall
     ) -> None:
         domain = call.runner.entry.runner.failure_domain
         now = self.reactor.seconds()
@@ -266,10 +268,10 @@
             pieces=len(call.pieces),
             near=sum(p.group.failure_domain == domain for p in call.pieces),
             late=sum(p.group.target_at < now for p in call.pieces),
-            waiting=len(gatherer.queue),
-            timely=len(gatherer.timely_due),
+            waiting=len(batcher.queue),
+            timely=len(batcher.timely_due),
             following_s=round(self._following_wait_s(service, now), 3),
-            used_bytes=int(gatherer.used_bytes.get(call.runner.name, 0)),
+            used_bytes=int(batcher.used_bytes.get(call.runner.name, 0)),
             slowness=round(call.runner.slowness, 2),
         )
 
@@ -280,7 +282,7 @@
         self,
         response: _messages.HttpResponse,
         service: str,
-        gatherer: relay.Gatherer,
+        batcher: relay.Batcher,
         call: relay.BatchCall,
     ) -> None:
         now = self.reactor.seconds()
@@ -293,22 +295,22 @@
                 call.runner.is_misdirected = True
             state.on_failure(model.CallFailure.OVERLOADED, now)
             state.avoid_until = max(state.avoid_until, now + FULL_PAUSE_S)
-            self._again(service, gatherer, call, f'status {response.status}')
+            self._again(service, batcher, call, f'status {response.status}')
             return
         try:
             results = self.dialect.read_stage_reply(response, len(call.pieces))
         except model.WireError as error:
             state.on_failure(model.CallFailure.PROTOCOL, now)
-            self._again(service, gatherer, call, str(error))
+            self._again(service, batcher, call, str(error))
             return
         state.on_result(now - call.sent_at, now - call.sent_at, now)
-        gatherer.on_answer(call, [r.handle for r in results], now)
-        self._on_results(service, gatherer, call, results)
+        batcher.on_answer(call, [r.handle for r in results], now)
+        self._on_results(service, batcher, call, results)
 
     def _on_results(
         self,
         service: str,
-        gatherer: relay.Gatherer,
+        batcher: relay.Batcher,
         call: relay.BatchCall,
         results: Any,
     ) -> None:
@@ -336,7 +338,7 @@
             elif result.result in retry:
                 if result.result == _dialect.PieceResult.ROOM:
                     size = piece.group.result_bytes
-                    gatherer.on_no_room(call, size, self.reactor.seconds())
+                    batcher.on_storage_full(call, size, self.reactor.seconds())
                 again.append(piece)
             else:
                 reason = None if result.handle else str(result.result)
@@ -347,14 +349,14 @@
             self.queue_release(unwanted)
         for group_id, outcomes in made.items():
             self._deliver(group_id, outcomes)
-        self._requeue(service, gatherer, again, 'room or error')
+        self._requeue(service, batcher, again, 'room or error')
         self.pump_soon(service, 0.0)
 
     def _on_error(
         self,
         failure: Any,
         service: str,
-        gatherer: relay.Gatherer,
+        batcher: relay.Batcher,
         call: relay.BatchCall,
     ) -> None:
         failure.trap(_client.CallError)
@@ -365,21 +367,21 @@
         elif problem == _client.CallProblem.CANCELLED:
             kind = model.CallFailure.SILENT
             call.runner.slowness = min(call.runner.slowness * 2, 16.0)
-            call.runner.state.avoid_until = now + call.patience_s
+            call.runner.state.avoid_until = now + call.timeout_s
         else:
             kind = model.CallFailure.LOST
             call.runner.state.avoid_until = now + FULL_PAUSE_S
         call.runner.state.on_failure(kind, now)
-        self._again(service, gatherer, call, str(failure.value))
+        self._again(service, batcher, call, str(failure.value))
 
     def _again(
         self,
         service: str,
-        gatherer: relay.Gatherer,
+        batcher: relay.Batcher,
         call: relay.BatchCall,
         reason: str,
     ) -> None:
-        gatherer.on_failure(call)
+        batcher.on_failure(call)
         self.logger.info(
             'stage-call-failed',
             service=service,
@@ -388,13 +390,13 @@
             reason=reason,
         )
         wanted = [p for p in call.pieces if p.group.group_id in self.owned]
-        self._requeue(service, gatherer, wanted, reason)
+        self._requeue(service, batcher, wanted, reason)
         self.pump_soon(service, 0.0)
 
     def _requeue(
         self,
         service: str,
-        gatherer: relay.Gatherer,
+        batcher: relay.Batcher,
         pieces: list[relay.QueuedPiece],
         reason: str,
     ) -> None:
@@ -403,7 +405,7 @@
             group = piece.group
             within = group.sends < MAX_SENDS * len(group.work)
             if within and self.budget.take(service, now):
-                gatherer.queue.append(piece)
+                batcher.queue.append(piece)
             else:
                 self._settle(group, [piece.work.piece], 'error')
 
@@ -449,7 +451,7 @@
         for handle in handles:
             address = self.dialect.handle_address(handle)
             self.releases.setdefault(address, []).append(handle)
-        is_awaited = any(g.queue for g in self.gatherers.values())
+        is_awaited = any(g.queue for g in self.batchers.values())
         delay_s = 0.0 if is_awaited else RELEASE_DELAY_S
         if self.release_timer is None:
             self.release_timer = self.reactor.callLater(
@@ -474,7 +476,7 @@
 
     def _on_released(self, _: object, handles: list[str]) -> None:
         """Count room as free once its runner has freed it, not before."""
-        for service, gatherer in self.gatherers.items():
-            gatherer.release(handles)
-            if gatherer.queue:
+        for service, batcher in self.batchers.items():
+            batcher.release(handles)
+            if batcher.queue:
                 self.pump_soon(service, 0.0)
--- a/libs/ragwort_lab/ragwort_lab/_relay_fakes.py
+++ b/libs/ragwort_lab/ragwort_lab/_relay_fakes.py
@@ -359,7 +359,7 @@
             return
         if request.target == b'/room':
             used = sum(self.results.values())
-            free = self.limits.room_bytes - used
+            free = self.limits.storage_bytes - used
             open_call.respond(HTTP_OK, (), str(free).encode())
             return
         if len(self.waiting) >= QUEUE:
@@ -389,7 +389,10 @@
         )
 
     def _make(self, item: dict[str, Any]) -> tuple[str, str | None]:
-        if sum(self.results.values()) + item['size'] > self.limits.room_bytes:
+        if (
+            sum(self.results.values()) + item['size']
+            > self.limits.storage_bytes
+        ):
             self.no_room += 1
             return 'room', None
         self.count += 1
@@ -397,7 +400,7 @@
         self.results[handle] = item['size']
         self.made.append((item['request_id'], item['stage'], item['piece']))
         self.clock.callLater(
-            self.limits.result_life_s, self.results.pop, handle, None
+            self.limits.result_ttl_s, self.results.pop, handle, None
         )
         return 'made', handle
 
--- a/libs/ragwort_relay/ragwort_relay/__init__.py
+++ b/libs/ragwort_relay/ragwort_relay/__init__.py
@@ -13,6 +13,7 @@
 from ragwort_relay._attempts import next_step
 from ragwort_relay._attempts import NextStep
 from ragwort_relay._attempts import SendResult
+from ragwort_relay._batcher import Batcher
 from ragwort_relay._budget import RetryBudget
 from ragwort_relay._budget import WindowCounter
 from ragwort_relay._catalog import ObjectDecoder
@@ -23,7 +24,6 @@
 from ragwort_relay._fleet import Fleet
 from ragwort_relay._fleet import FleetRunner
 from ragwort_relay._fleet import RunnerEntry
-from ragwort_relay._gather import Gatherer
 from ragwort_relay._order import ChooseTimely
 from ragwort_relay._order import Pace
 from ragwort_relay._order import RANK_S
@@ -54,6 +54,7 @@
     'admit',
     'Attempts',
     'BatchCall',
+    'Batcher',
     'BatchLimits',
     'CallerLimits',
     'CallKind',
@@ -66,7 +67,6 @@
     'FleetRunner',
     'Forecast',
     'forecast',
-    'Gatherer',
     'next_step',
     'NextStep',
     'ObjectDecoder',
--- a/libs/ragwort_relay/ragwort_relay/_admission.py
+++ b/libs/ragwort_relay/ragwort_relay/_admission.py
@@ -64,8 +64,8 @@
     found: list[float] = []
     for index, spec in enumerate(run.stages):
         service = services.get(spec.service)
-        limits = service.batch if service else None
-        count = min(run.pieces[index], limits.batch) if limits else 0
+        limits = service.batch_limits if service else None
+        count = min(run.pieces[index], limits.max_pieces) if limits else 0
         found.append(limits.duration_s(count) if limits else 0.0)
     return found
 
--- a/libs/ragwort_relay/ragwort_relay/_gather.py
+++ b/libs/ragwort_relay/ragwort_relay/_batcher.py
@@ -71,7 +71,7 @@
     LATE = 4
 
 
-class Gatherer:
+class Batcher:
     """Queue of pieces for one service, and the calls made of it."""
 
     def __init__(
@@ -85,7 +85,7 @@
         self.queue: list[_pieces.QueuedPiece] = []
         self.timely: set[str] = set()
         self.timely_due: list[float] = []
-        self.full_size = float(limits.batch)
+        self.full_size = float(limits.max_pieces)
         self.calls: dict[int, _pieces.BatchCall] = {}
         self.call_ids = itertools.count(1)
         self.kept: dict[str, tuple[str, float, float]] = {}
@@ -106,7 +106,7 @@
         ]
         return before - len(self.queue)
 
-    def take_hopeless(
+    def remove_too_late(
         self, runners: Sequence[_fleet.FleetRunner], now: float
     ) -> list[_pieces.QueuedPiece]:
         """Take out the groups that can't be made before their deadline.
@@ -132,11 +132,11 @@
         self,
         runners: Sequence[_fleet.FleetRunner],
         now: float,
-        following_wait_s: float = 0.0,
+        downstream_wait_s: float = 0.0,
     ) -> list[_pieces.BatchCall]:
         """Return the calls to send now, most urgent pieces first.
 
-        following_wait_s is the queueing time of the services that read the
+        downstream_wait_s is the queueing time of the services that read the
         results.
         """
         self._expire_results(now)
@@ -155,7 +155,7 @@
         waiting: list[_pieces.QueuedPiece] = []
         for piece in self.queue:
             place = None
-            if not self._is_held_back(piece.group, following_wait_s):
+            if not self._is_held_back(piece.group, downstream_wait_s):
                 place = self._place(piece, forming, usable, now)
             if place is None:
                 waiting.append(piece)
@@ -172,7 +172,7 @@
         full, and the queue from moving as fast as it could.
         """
         left = sum(p.group.group_id in self.timely for p in self.queue)
-        if left < self.limits.batch:
+        if left < self.limits.max_pieces:
             return
         for call in formed:
             if call.pieces:
@@ -189,7 +189,7 @@
             return _Turn.PRESSED
         if group.group_id not in self.timely:
             return _Turn.LATE_NEAR if is_near else _Turn.LATE
-        full_s = self.limits.duration_s(self.limits.batch)
+        full_s = self.limits.duration_s(self.limits.max_pieces)
         if group.slack_s(now, full_s) < full_s:
             return _Turn.PRESSED
         return _Turn.NEAR if is_near else _Turn.TIMELY
@@ -201,22 +201,24 @@
         return [runner for runner in runners if runner.name not in busy]
 
     def _is_held_back(
-        self, group: _pieces.PieceGroup, following_wait_s: float
+        self, group: _pieces.PieceGroup, downstream_wait_s: float
     ) -> bool:
         """Tell whether results would only lie in the way of timely ones."""
         if group.sends or group.group_id in self.timely:
             return False
-        return following_wait_s > MAX_FOLLOWING_WAIT_S
+        return downstream_wait_s > MAX_FOLLOWING_WAIT_S
 
     def _pace(self, runners: Sequence[_fleet.FleetRunner]) -> _order.Pace:
         """Return how fast the runners take what waits."""
         limits = self.limits
         count = max(len(runners), 1)
         slowness = sum(r.slowness for r in runners) / count if runners else 1.0
-        full = min(max(self.full_size, 1.0), limits.batch)
+        full = min(max(self.full_size, 1.0), limits.max_pieces)
         full_s = limits.duration_s(math.ceil(full)) * slowness
         idle = len(self._idle(runners))
-        size = min(math.ceil(len(self.queue) / max(idle, 1)), limits.batch)
+        size = min(
+            math.ceil(len(self.queue) / max(idle, 1)), limits.max_pieces
+        )
         return _order.Pace(
             int(idle * full),
             len(runners) * full / full_s,
@@ -258,7 +260,7 @@
         if near:
             return near[0]
         free_in_s = self._near_free_in_s(domain, usable, now)
-        work_s = self.limits.duration_s(self.limits.batch)
+        work_s = self.limits.duration_s(self.limits.max_pieces)
         if free_in_s < NEAR_SLACK_SHARE * group.slack_s(now, work_s):
             return None
         # Pieces of one request stay together: they share their inputs.
@@ -271,12 +273,12 @@
         A group that was not begun starts only in a call that can hold all
         of it, or as much of it as any call can.
         """
-        free = self.limits.batch - len(call.pieces)
+        free = self.limits.max_pieces - len(call.pieces)
         if free < 1 or call.free_bytes < group.result_bytes:
             return False
         if group.sends or call.holds(group):
             return True
-        whole = min(len(group.work), self.limits.batch)
+        whole = min(len(group.work), self.limits.max_pieces)
         return free >= whole and (
             call.free_bytes >= whole * group.result_bytes
         )
@@ -322,7 +324,7 @@
         now: float,
     ) -> bool:
         """Tell whether a slow runner is done sooner than a busy fast one."""
-        count = min(len(self.queue), self.limits.batch)
+        count = min(len(self.queue), self.limits.max_pieces)
         usual_s = self.limits.duration_s(count)
         here = usual_s * runner.slowness
         others = [
@@ -334,7 +336,7 @@
             if call.runner.name in usable
         ]
         # Each busy runner takes one call before the queue is at its end.
-        ahead = len(self.queue) // max(self.limits.batch, 1)
+        ahead = len(self.queue) // max(self.limits.max_pieces, 1)
         others.sort()
         if ahead >= len(others):
             return True
@@ -344,7 +346,7 @@
         until, least = self.full_until.get(runner.name, (now, 0.0))
         used = self.used_bytes.get(runner.name, 0.0)
         foreign = self.foreign_bytes.get(runner.name, 0.0)
-        free = self.limits.room_bytes - used - foreign
+        free = self.limits.storage_bytes - used - foreign
         return min(free, least) if now < until else free
 
     def _start(self, forming: '_FormingCall', now: float) -> _pieces.BatchCall:
@@ -374,7 +376,7 @@
         usual_s = self.limits.duration_s(len(call.pieces))
         ratio = max((now - call.sent_at) / usual_s, 1.0)
         runner.slowness += 0.5 * (ratio - runner.slowness)
-        until = now + self.limits.result_life_s
+        until = now + self.limits.result_ttl_s
         for piece, handle in zip(call.pieces, handles, strict=True):
             if handle is None:
                 self._use(runner.name, -piece.group.result_bytes)
@@ -382,7 +384,7 @@
                 size = piece.group.result_bytes
                 self.kept[handle] = (runner.name, size, until)
 
-    def on_no_room(
+    def on_storage_full(
         self, call: _pieces.BatchCall, size: float, now: float
     ) -> None:
         """Send a runner only smaller results for a while.
@@ -392,19 +394,19 @@
         """
         self.full_until[call.runner.name] = (now + FULL_S, size / 2)
 
-    def on_room(self, runner: str, free_bytes: float) -> None:
+    def on_free_bytes(self, runner: str, free_bytes: float) -> None:
         """Take a runner's own word on its room."""
         used = self.used_bytes.get(runner, 0.0)
-        foreign = self.limits.room_bytes - free_bytes - used
+        foreign = self.limits.storage_bytes - free_bytes - used
         self.foreign_bytes[runner] = max(foreign, 0.0)
         self.full_until.pop(runner, None)
 
-    def is_room_unclear(self, runner: str, now: float) -> bool:
+    def may_hold_foreign_results(self, runner: str, now: float) -> bool:
         """Tell whether others' results may lie at a runner.
 
         A runner tells its room too coarsely for small rooms.
         """
-        if self.limits.room_bytes < MIN_TOLD_ROOM_BYTES:
+        if self.limits.storage_bytes < MIN_TOLD_ROOM_BYTES:
             return False
         until, _ = self.full_until.get(runner, (now, 0.0))
         return now < until or self.foreign_bytes.get(runner, 0.0) > 0.0
--- a/libs/ragwort_relay/ragwort_relay/_pieces.py
+++ b/libs/ragwort_relay/ragwort_relay/_pieces.py
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True)
 class BatchCall:
-    """A call to one runner; patience_s is when to give it up."""
+    """A call to one runner; timeout_s is when to give it up."""
 
     call_id: int
     runner: _fleet.FleetRunner
@@ -53,7 +53,7 @@
     expected_s: float
 
     @property
-    def patience_s(self) -> float:
+    def timeout_s(self) -> float:
         """Return how long to wait for the answer."""
         return max(PATIENCE_FACTOR * self.expected_s, PATIENCE_S)
 
--- a/libs/ragwort_relay/ragwort_relay/_routes.py
+++ b/libs/ragwort_relay/ragwort_relay/_routes.py
@@ -75,21 +75,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BatchLimits:
-    """How the runners of a stage service take pieces; each per runner.
+    """Limits and costs of a stage service's calls, for each runner.
 
-    A call costs call_s and piece_s for each piece; results of at most
-    room_bytes are kept for result_life_s.
+    A call takes call_overhead_s plus per_piece_s for each piece. A runner
+    keeps at most storage_bytes of results, each for result_ttl_s.
     """
 
-    batch: int
-    call_s: float
-    piece_s: float
-    room_bytes: float
-    result_life_s: float
+    max_pieces: int
+    call_overhead_s: float
+    per_piece_s: float
+    storage_bytes: float
+    result_ttl_s: float
 
     def duration_s(self, pieces: int) -> float:
         """Return the usual time of a call with so many pieces."""
-        return self.call_s + pieces * self.piece_s
+        return self.call_overhead_s + pieces * self.per_piece_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
     """A service; batch is set if it works on stages."""
 
     name: str
-    batch: BatchLimits | None = None
+    batch_limits: BatchLimits | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -145,7 +145,7 @@
         return {key: w for w in self.workspaces for key in w.keys}
 
     @functools.cached_property
-    def following_services(self) -> dict[str, frozenset[str]]:
+    def downstream_services(self) -> dict[str, frozenset[str]]:
         """Return the stage services that read each service's results."""
         following: dict[str, set[str]] = {}
         for route in self.routes:
