--- a/features/steps/order_of_waiting_steps.py
+++ b/features/steps/order_of_waiting_steps.py
@@ -227,7 +227,7 @@
 @then('stage 0 has {spare:f} s to spare at first')
 def check_spare(context: Any, spare: float) -> None:
     """Ask before anything began."""
-    found = context.run.spare_s(0, context.stage_s, 0.0)
+    found = context.run.slack_s(0, context.stage_s, 0.0)
     assert abs(found - spare) < 1e-9, found
 
 
@@ -235,12 +235,12 @@
 def check_spare_later(context: Any, spare: float, after: float) -> None:
     """Ask again while the chain is under way."""
     context.run.start(1, 0.0)
-    found = context.run.spare_s(0, context.stage_s, after)
+    found = context.run.slack_s(0, context.stage_s, after)
     assert abs(found - spare) < 1e-9, found
 
 
 @then('stages 1 and 2 have none to spare')
 def check_no_spare(context: Any) -> None:
     """Ask for the chain that the request waits for."""
-    assert context.run.spare_s(1, context.stage_s, 0.0) == 0.0
-    assert context.run.spare_s(2, context.stage_s, 0.0) == 0.0
+    assert context.run.slack_s(1, context.stage_s, 0.0) == 0.0
+    assert context.run.slack_s(2, context.stage_s, 0.0) == 0.0
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -432,7 +432,7 @@
 DECIDING = re.compile(
     r'relay\.(admit|forecast|next_step|Attempts|RetryBudget|Batcher'
     r'|choose_\w+|retry_after_s|StageRun|PromptMemory|timely_groups'
-    r'|QueueWaits|stage_targets)\b'
+    r'|QueueWaits|time_after_stage_s)\b'
 )
 
 
--- a/features/steps/relay_decision_steps.py
+++ b/features/steps/relay_decision_steps.py
@@ -190,10 +190,10 @@
             assert (work.stage, work.piece) not in made
             made.add((work.stage, work.piece))
             handle = f'{work.stage}/{work.piece}'
-            run.on_made(work.stage, work.piece, handle)
+            run.add_result(work.stage, work.piece, handle)
         assert len(made) == sum(pieces)
-        last = [s for s in range(count) if s not in run.followed]
-        assert run.final_inputs() == [
+        last = [s for s in range(count) if s not in run.stages_with_dependents]
+        assert run.main_call_inputs() == [
             f'{stage}/{piece}'
             for stage in last
             for piece in range(pieces[stage])
--- a/libs/ragwort_edge/ragwort_edge/_call_stages.py
+++ b/libs/ragwort_edge/ragwort_edge/_call_stages.py
@@ -110,7 +110,7 @@
         return relay.first_event_s(self.facts.prompt)
 
     def _usual_s(self, run: relay.StageRun) -> list[float]:
-        return relay.usual_s(run, self.configuration.services)
+        return relay.typical_stage_s(run, self.configuration.services)
 
     def _timely_waits_s(self, run: relay.StageRun) -> list[float]:
         """Return the queueing time before each stage if it can be timely.
@@ -121,7 +121,7 @@
         now = self.context.reactor.seconds()
         usual_s = self._usual_s(run)
         left_s = self.times.target_at - now - self._first_event_s
-        spare_s = left_s - run.path_s(usual_s)
+        spare_s = left_s - run.critical_path_s(usual_s)
         spare_s += relay.RANK_S * self.times.rank
         return [
             self.context.stages.waits.wait_s(
@@ -155,7 +155,7 @@
             done: defer.Deferred[None] = defer.Deferred()
             self._start_ready(run, done)
             await done
-        self.inputs = tuple(run.final_inputs())
+        self.inputs = tuple(run.main_call_inputs())
 
     def _start_ready(
         self, run: relay.StageRun, done: 'defer.Deferred[None]'
@@ -193,7 +193,7 @@
             self._late_waits_s() if is_late else self._timely_waits_s(run)
         )
         expected_s = _sums(self._usual_s(run), waits_s)
-        spare_s = run.spare_s(stage, expected_s, now) - HOLD_MARGIN_S
+        spare_s = run.slack_s(stage, expected_s, now) - HOLD_MARGIN_S
         return spare_s if spare_s >= MIN_HOLD_S else 0.0
 
     def _on_stage_error(
@@ -206,8 +206,8 @@
         usual_s = self._usual_s(run)
         with_waits_s = _sums(usual_s, self._timely_waits_s(run))
         first_s = self._first_event_s
-        target_s = relay.stage_targets(run, stage, with_waits_s) + first_s
-        deadline_s = relay.stage_targets(run, stage, usual_s) + first_s
+        target_s = relay.time_after_stage_s(run, stage, with_waits_s) + first_s
+        deadline_s = relay.time_after_stage_s(run, stage, usual_s) + first_s
         return relay.PieceGroup(
             '',
             run.work(stage),
@@ -230,7 +230,7 @@
             for handle in run.results(needed):
                 domain = self.context.domain_of(handle)
                 read[domain] += int(size * run.pieces[stage])
-        if stage not in run.followed:
+        if stage not in run.stages_with_dependents:
             amount = int(spec.result_bytes * run.pieces[stage])
             read[self.likely_domain()] += amount
         most = read.most_common(1)
@@ -249,14 +249,14 @@
         failed = [o.reason for o in outcomes.values() if o.handle is None]
         for outcome in outcomes.values():
             if outcome.handle is not None:
-                run.on_made(stage, outcome.piece, outcome.handle)
+                run.add_result(stage, outcome.piece, outcome.handle)
         if done.called:
             return
         if failed:
             done.errback(self._stage_error(stage, failed))
             return
         for needed in self.route.stages[stage].after:
-            if run.is_spent(needed):
+            if run.is_consumed(needed):
                 self._release(needed, run.results(needed))
         if run.is_done:
             done.callback(None)
@@ -277,7 +277,7 @@
         if run is None:
             return amounts
         for stage in range(len(run)):
-            if stage in run.followed:
+            if stage in run.stages_with_dependents:
                 continue
             size = self.route.stages[stage].result_bytes
             for handle in run.results(stage):
@@ -298,7 +298,7 @@
         if run is None:
             return
         for stage in range(len(run)):
-            if not run.is_spent(stage):
+            if not run.is_consumed(stage):
                 self._release(stage, run.results(stage))
 
 
--- a/libs/ragwort_relay/ragwort_relay/__init__.py
+++ b/libs/ragwort_relay/ragwort_relay/__init__.py
@@ -6,8 +6,8 @@
 from ragwort_relay._admission import Forecast
 from ragwort_relay._admission import forecast
 from ragwort_relay._admission import retry_after_s
-from ragwort_relay._admission import stage_targets
-from ragwort_relay._admission import usual_s
+from ragwort_relay._admission import time_after_stage_s
+from ragwort_relay._admission import typical_stage_s
 from ragwort_relay._admission import Verdict
 from ragwort_relay._attempts import Attempts
 from ragwort_relay._attempts import next_step
@@ -88,13 +88,13 @@
     'SendResult',
     'ServiceShare',
     'ServiceSpec',
-    'stage_targets',
     'StageRun',
     'StageSpec',
     'StreamEvent',
     'StreamProgress',
+    'time_after_stage_s',
     'timely_groups',
-    'usual_s',
+    'typical_stage_s',
     'Verdict',
     'WindowCounter',
     'Workspace',
--- a/libs/ragwort_relay/ragwort_relay/_admission.py
+++ b/libs/ragwort_relay/ragwort_relay/_admission.py
@@ -57,7 +57,7 @@
     return FIRST_EVENT_S + tokens * FIRST_EVENT_S_PER_TOKEN
 
 
-def usual_s(
+def typical_stage_s(
     run: _stages.StageRun, services: Mapping[str, _routes.ServiceSpec]
 ) -> list[float]:
     """Return the usual time of each stage's last call, in seconds."""
@@ -82,8 +82,8 @@
     it; first_s is what the main call will take to its first event.
     """
     both = [a + b for a, b in zip(work_s, waits_s, strict=True)]
-    total_s = run.path_s(both)
-    return Forecast(total_s + first_s, total_s - run.path_s(work_s))
+    total_s = run.critical_path_s(both)
+    return Forecast(total_s + first_s, total_s - run.critical_path_s(work_s))
 
 
 def admit(
@@ -115,7 +115,7 @@
     return base * rng.uniform(0.7, 1.3)
 
 
-def stage_targets(
+def time_after_stage_s(
     run: _stages.StageRun, stage: int, stage_s: Sequence[float]
 ) -> float:
     """Return the seconds of work that follow a stage before the call."""
@@ -126,7 +126,7 @@
     ]
     return max(
         (
-            stage_s[index] + stage_targets(run, index, stage_s)
+            stage_s[index] + time_after_stage_s(run, index, stage_s)
             for index in followers
         ),
         default=0.0,
--- a/libs/ragwort_relay/ragwort_relay/_stages.py
+++ b/libs/ragwort_relay/ragwort_relay/_stages.py
@@ -42,7 +42,9 @@
         self.key = key
         self.handles: list[dict[int, str]] = [{} for _ in stages]
         self.started_at: dict[int, float] = {}
-        self.followed = {index for spec in stages for index in spec.after}
+        self.stages_with_dependents = {
+            index for spec in stages for index in spec.after
+        }
 
     def is_complete(self, stage: int) -> bool:
         """Tell whether all pieces of a stage are made."""
@@ -71,7 +73,7 @@
         """Note that a stage is being made."""
         self.started_at[stage] = now
 
-    def spare_s(
+    def slack_s(
         self, stage: int, stage_s: Sequence[float], now: float
     ) -> float:
         """Return how much later a stage could start and end with the others.
@@ -79,7 +81,7 @@
         stage_s is the expected time of each stage in seconds. Stages that
         others wait for have none to spare.
         """
-        if stage in self.followed:
+        if stage in self.stages_with_dependents:
             return 0.0
         left_s = [
             0.0
@@ -87,7 +89,7 @@
             else max(s - (now - self.started_at.get(index, now)), 0.0)
             for index, s in enumerate(stage_s)
         ]
-        return max(self.path_s(left_s) - stage_s[stage], 0.0)
+        return max(self.critical_path_s(left_s) - stage_s[stage], 0.0)
 
     def work(self, stage: int) -> list[PieceWork]:
         """Return the pieces of a stage that is ready."""
@@ -105,11 +107,11 @@
         """Return the handles of a stage in the order of its pieces."""
         return [handle for _, handle in sorted(self.handles[stage].items())]
 
-    def on_made(self, stage: int, piece: int, handle: str) -> None:
+    def add_result(self, stage: int, piece: int, handle: str) -> None:
         """Keep the handle of a piece; a piece made twice keeps its first."""
         self.handles[stage].setdefault(piece, handle)
 
-    def is_spent(self, stage: int) -> bool:
+    def is_consumed(self, stage: int) -> bool:
         """Tell whether every stage that needs these results is complete."""
         followers = [
             index
@@ -118,12 +120,12 @@
         ]
         return bool(followers) and all(map(self.is_complete, followers))
 
-    def final_inputs(self) -> list[str]:
+    def main_call_inputs(self) -> list[str]:
         """Return the handles that the main call needs."""
         return [
             handle
             for stage in range(len(self))
-            if stage not in self.followed
+            if stage not in self.stages_with_dependents
             for handle in self.results(stage)
         ]
 
@@ -131,7 +133,7 @@
         """Return the handles of everything made."""
         return [handle for made in self.handles for handle in made.values()]
 
-    def path_s(self, stage_s: Sequence[float]) -> float:
+    def critical_path_s(self, stage_s: Sequence[float]) -> float:
         """Return the longest time along the stages still to be made.
 
         stage_s is the expected time of each stage in seconds.
