--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -431,7 +431,7 @@
 )
 DECIDING = re.compile(
     r'relay\.(admit|forecast|next_step|Attempts|RetryBudget|Batcher'
-    r'|choose_\w+|retry_after_s|StageRun|PromptMemory|timely_groups'
+    r'|choose_\w+|retry_after_s|StageRun|PromptCacheIndex|timely_groups'
     r'|QueueWaits|time_after_stage_s)\b'
 )
 
--- a/features/steps/relay_decision_steps.py
+++ b/features/steps/relay_decision_steps.py
@@ -247,7 +247,7 @@
 def lose_entry(context: Any, name: str) -> None:
     """Remove an entry right after an outage."""
     context.catalog.now = 100.0
-    context.catalog.fleet.on_store_back(100.0)
+    context.catalog.fleet.on_store_recovered(100.0)
     context.catalog.apply(model.StoredObject(f'runner/{name}', 5, None))
 
 
@@ -261,7 +261,7 @@
     context.catalog.apply(model.StoredObject('runner/other', 6, other))
     both = [r.name for r in fleet.usable('main', 100.5)]
     assert both == ['runner/other'], both
-    fleet.expire(102.1)
+    fleet.remove_expired(102.1)
     assert f'runner/{name}' not in fleet.runners
 
 
@@ -294,10 +294,10 @@
                 relay.PromptPart(f'session-{session}', 3800),
                 relay.PromptPart(f'own-{session}-{host.name}', 2900),
             )
-            runner, _ = relay.choose_engine(
-                runners, prompt, host.catalog.memory, {}, 0.0
+            runner, _ = relay.choose_by_prompt_cache(
+                runners, prompt, host.catalog.prompt_cache, {}, 0.0
             )
-            host.catalog.memory.note(runner.name, prompt)
+            host.catalog.prompt_cache.record(runner.name, prompt)
             chosen.add(runner.name)
         assert len(chosen) == 1, (session, chosen)
         homes |= chosen
--- a/features/steps/relay_host_steps.py
+++ b/features/steps/relay_host_steps.py
@@ -156,7 +156,7 @@
     back_by = context.world.clock.seconds() + 2.0
     context.world.run(2.0)
     assert not any(w.is_store_away for w in host.watchers.values())
-    back_at = host.catalog.fleet.store_back_at
+    back_at = host.catalog.fleet.store_recovered_at
     assert back_at is not None
     assert back_at <= back_by
 
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -258,7 +258,7 @@
     def _tick(self) -> None:
         now, wall = self.reactor.seconds(), time.time()
         self.catalog.now = now
-        self.catalog.fleet.expire(now)
+        self.catalog.fleet.remove_expired(now)
         messages = self.members.tick(now, wall)
         messages += self.gossip.tick(now, self.members.peers())
         for message in messages:
@@ -334,7 +334,7 @@
                 result, op=result.op.removeprefix(prefix)
             )
             if was_away and result.status == model.StoreStatus.OK:
-                self.catalog.fleet.on_store_back(now)
+                self.catalog.fleet.on_store_recovered(now)
                 self.logger.info('store-back', objects=prefix)
             self._adopted(watcher.result(own, now), prefix)
             if watcher.is_store_away and not was_away:
--- a/libs/ragwort_edge/ragwort_edge/_relay_call.py
+++ b/libs/ragwort_edge/ragwort_edge/_relay_call.py
@@ -223,15 +223,15 @@
         if not fresh:
             return None
         if self.facts.prompt:
-            runner, estimates = relay.choose_engine(
+            runner, estimates = relay.choose_by_prompt_cache(
                 fresh,
                 self.facts.prompt,
-                context.catalog.memory,
+                context.catalog.prompt_cache,
                 self.stages.input_bytes(),
                 now,
             )
         else:
-            runner, estimates = relay.choose_plain(
+            runner, estimates = relay.choose_by_load(
                 fresh, context.failure_domain, now
             )
         self.notes['runner'] = runner.name
@@ -444,7 +444,7 @@
         last_event = progress.last_number
         reader = _stream.StreamReader(self, runner, progress)
         runner.state.on_dispatch()
-        context.catalog.memory.note(runner.name, self.facts.prompt)
+        context.catalog.prompt_cache.record(runner.name, self.facts.prompt)
         reader.open(self._main_request(runner, last_event))
         try:
             ended: _Send = await reader.done
--- a/libs/ragwort_relay/ragwort_relay/__init__.py
+++ b/libs/ragwort_relay/ragwort_relay/__init__.py
@@ -31,9 +31,9 @@
 from ragwort_relay._pieces import BatchCall
 from ragwort_relay._pieces import PieceGroup
 from ragwort_relay._pieces import QueuedPiece
-from ragwort_relay._prompts import choose_engine
-from ragwort_relay._prompts import choose_plain
-from ragwort_relay._prompts import PromptMemory
+from ragwort_relay._prompts import choose_by_load
+from ragwort_relay._prompts import choose_by_prompt_cache
+from ragwort_relay._prompts import PromptCacheIndex
 from ragwort_relay._prompts import PromptPart
 from ragwort_relay._routes import BatchLimits
 from ragwort_relay._routes import CallerLimits
@@ -58,8 +58,8 @@
     'BatchLimits',
     'CallerLimits',
     'CallKind',
-    'choose_engine',
-    'choose_plain',
+    'choose_by_load',
+    'choose_by_prompt_cache',
     'ChooseTimely',
     'EventCutter',
     'first_event_s',
@@ -73,7 +73,7 @@
     'Pace',
     'PieceGroup',
     'PieceWork',
-    'PromptMemory',
+    'PromptCacheIndex',
     'PromptPart',
     'QueuedPiece',
     'QueueWait',
--- a/libs/ragwort_relay/ragwort_relay/_catalog.py
+++ b/libs/ragwort_relay/ragwort_relay/_catalog.py
@@ -39,7 +39,7 @@
         self.decoder = decoder
         self.configuration: _routes.RelayConfiguration | None = None
         self.fleet = _fleet.Fleet()
-        self.memory = _prompts.PromptMemory()
+        self.prompt_cache = _prompts.PromptCacheIndex()
         self.problems: dict[str, str] = {}
         self.now = 0.0
 
@@ -50,7 +50,7 @@
         except model.ConfigurationError as error:
             self.problems[item.name] = str(error)
             if self.decoder.is_runner(item.name):
-                self.fleet.adopt(item.name, None, self.now)
+                self.fleet.update(item.name, None, self.now)
         else:
             self.problems.pop(item.name, None)
 
@@ -59,9 +59,9 @@
             entry = None
             if item.value is not None:
                 entry = self.decoder.decode_runner(item.name, item.value)
-            self.fleet.adopt(item.name, entry, self.now)
+            self.fleet.update(item.name, entry, self.now)
             if item.name not in self.fleet.runners:
-                self.memory.forget(item.name)
+                self.prompt_cache.remove(item.name)
         elif self.decoder.is_configuration(item.name):
             if item.value is not None:
                 self.configuration = self.decoder.decode_configuration(
--- a/libs/ragwort_relay/ragwort_relay/_fleet.py
+++ b/libs/ragwort_relay/ragwort_relay/_fleet.py
@@ -14,12 +14,12 @@
 class RunnerEntry:
     """A runner's entry in the store.
 
-    born is when this incarnation started, in ms of wall time; slots is how
-    many calls it works on at once.
+    started_ms is the wall-clock start of this incarnation in milliseconds;
+    slots is how many calls it works on at once.
     """
 
     runner: model.Runner
-    born: int
+    started_ms: int
     slots: int
 
 
@@ -27,13 +27,13 @@
 class FleetRunner:
     """An entry with what this host learned of the runner.
 
-    doubtful_until is set while the entry is missing after an outage;
+    unconfirmed_until is set while the entry is missing after an outage;
     slowness is the decayed ratio of work time to the usual time.
     """
 
     entry: RunnerEntry
     state: policy.RunnerState
-    doubtful_until: float | None = None
+    unconfirmed_until: float | None = None
     is_misdirected: bool = False
     slowness: float = 1.0
 
@@ -60,20 +60,20 @@
     def __init__(self) -> None:
         """Start without runners."""
         self.runners: dict[str, FleetRunner] = {}
-        self.store_back_at: float | None = None
+        self.store_recovered_at: float | None = None
 
-    def on_store_back(self, now: float) -> None:
+    def on_store_recovered(self, now: float) -> None:
         """Note that the store answers again after an outage."""
-        self.store_back_at = now
+        self.store_recovered_at = now
 
-    def adopt(self, name: str, entry: RunnerEntry | None, now: float) -> None:
+    def update(self, name: str, entry: RunnerEntry | None, now: float) -> None:
         """Take an entry, or None where it was removed."""
         known = self.runners.get(name)
         if entry is None:
             if known is not None:
                 self._remove(known, now)
             return
-        if known is None or known.entry.born != entry.born:
+        if known is None or known.entry.started_ms != entry.started_ms:
             state = policy.RunnerState(entry.runner)
             self.runners[name] = FleetRunner(entry, state)
             return
@@ -81,19 +81,19 @@
             known.is_misdirected = False
         known.entry = entry
         known.state.runner = entry.runner
-        known.doubtful_until = None
+        known.unconfirmed_until = None
 
     def _remove(self, known: FleetRunner, now: float) -> None:
-        back = self.store_back_at
+        back = self.store_recovered_at
         if back is not None and now < back + RETURN_GRACE_S:
-            known.doubtful_until = back + RETURN_GRACE_S
+            known.unconfirmed_until = back + RETURN_GRACE_S
             return
         del self.runners[known.name]
 
-    def expire(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Forget runners whose entries did not come back in time."""
         for runner in list(self.runners.values()):
-            until = runner.doubtful_until
+            until = runner.unconfirmed_until
             if until is not None and now >= until:
                 del self.runners[runner.name]
 
@@ -104,10 +104,10 @@
             for runner in self.runners.values()
             if runner.entry.runner.service == service and runner.is_usable(now)
         ]
-        sound = [r for r in found if r.doubtful_until is None]
+        sound = [r for r in found if r.unconfirmed_until is None]
         return sound or found
 
-    def members(self, service: str) -> list[FleetRunner]:
+    def live_runners(self, service: str) -> list[FleetRunner]:
         """Return all runners of a service that are not leaving."""
         return [
             runner
--- a/libs/ragwort_relay/ragwort_relay/_prompts.py
+++ b/libs/ragwort_relay/ragwort_relay/_prompts.py
@@ -30,36 +30,38 @@
 class PromptPart:
     """A part of a prompt: its id and its length in tokens."""
 
-    part: str
+    part_id: str
     tokens: int
 
 
-class PromptMemory:
+class PromptCacheIndex:
     """Which prompt parts each runner likely keeps."""
 
     def __init__(self) -> None:
         """Start with nothing known."""
         self.parts: dict[str, collections.OrderedDict[str, None]] = {}
 
-    def note(self, runner: str, prompt: Sequence[PromptPart]) -> None:
+    def record(self, runner: str, prompt: Sequence[PromptPart]) -> None:
         """Remember that a runner has read a prompt."""
         kept = self.parts.setdefault(runner, collections.OrderedDict())
         for part in prompt:
-            kept[part.part] = None
-            kept.move_to_end(part.part)
+            kept[part.part_id] = None
+            kept.move_to_end(part.part_id)
         while len(kept) > MAX_PARTS:
             kept.popitem(last=False)
 
-    def forget(self, runner: str) -> None:
+    def remove(self, runner: str) -> None:
         """Forget a runner that is gone or started anew."""
         self.parts.pop(runner, None)
 
-    def missing_tokens(self, runner: str, prompt: Sequence[PromptPart]) -> int:
+    def uncached_tokens(
+        self, runner: str, prompt: Sequence[PromptPart]
+    ) -> int:
         """Return the tokens that a runner has to read anew."""
         kept: Mapping[str, None] = self.parts.get(runner, {})
         total = sum(part.tokens for part in prompt)
         for part in prompt:
-            if part.part not in kept:
+            if part.part_id not in kept:
                 break
             total -= part.tokens
         return total
@@ -73,10 +75,10 @@
     return prompt[:-1] if len(prompt) >= OWN_PART_FROM else prompt
 
 
-def choose_engine(
+def choose_by_prompt_cache(
     runners: Sequence[_fleet.FleetRunner],
     prompt: Sequence[PromptPart],
-    memory: PromptMemory,
+    prompt_cache: PromptCacheIndex,
     input_bytes: Mapping[str, float],
     now: float,
 ) -> tuple[_fleet.FleetRunner, dict[str, float]]:
@@ -90,11 +92,11 @@
     home = None
     if shared:
         names = [runner.name for runner in runners]
-        home = model.select_by_rendezvous(shared[-1].part, names)[0]
+        home = model.select_by_rendezvous(shared[-1].part_id, names)[0]
     own_tokens = sum(part.tokens for part in prompt[len(shared) :])
     estimates: dict[str, float] = {}
     for runner in runners:
-        missing = memory.missing_tokens(runner.name, prompt)
+        missing = prompt_cache.uncached_tokens(runner.name, prompt)
         if runner.name == home:
             # Other hosts send the session there.
             missing = min(missing, own_tokens)
@@ -114,7 +116,7 @@
     return best, estimates
 
 
-def choose_plain(
+def choose_by_load(
     runners: Sequence[_fleet.FleetRunner], failure_domain: str, now: float
 ) -> tuple[_fleet.FleetRunner, dict[str, float]]:
     """Return the runner with the least expected time, near ones first."""
