--- a/features/steps/order_of_waiting_steps.py
+++ b/features/steps/order_of_waiting_steps.py
@@ -11,7 +11,9 @@
 import ragwort_relay as relay
 
 LIMITS = relay.BatchLimits(4, 0.16, 0.01, 1e9, 4.0)
-PACE = relay.Pace(4, 4 / LIMITS.duration_s(4), LIMITS.duration_s(4))
+THROUGHPUT = relay.Throughput(
+    4, 4 / LIMITS.duration_s(4), LIMITS.duration_s(4)
+)
 TARGET_S = 1.0
 DEADLINE_S = 5.0
 
@@ -88,7 +90,7 @@
 def choose_order(context: Any) -> None:
     """Choose the groups that can be timely."""
     queue = queue_of(context.groups)
-    context.timely = relay.timely_groups(queue, PACE, 0.0)
+    context.timely = relay.timely_groups(queue, THROUGHPUT, 0.0)
 
 
 @then('between {least:d} and {most:d} groups are timely')
@@ -105,7 +107,7 @@
         for group in context.groups
         if group.group_id in context.timely
     )
-    assert PACE.start_s(pieces) + PACE.work_s <= TARGET_S
+    assert THROUGHPUT.start_delay_s(pieces) + THROUGHPUT.work_s <= TARGET_S
 
 
 @then('every group of rank {rank:d} is {what}')
@@ -174,13 +176,13 @@
 def hear_first(context: Any, wait: int, at: float) -> None:
     """Hear of a queue."""
     context.waits = relay.QueueWaits()
-    context.waits.hear('main', relay.QueueWait((wait,), 2.0 * wait, at))
+    context.waits.update('main', relay.QueueWait((wait,), 2.0 * wait, at))
 
 
 @when('word of {wait:d} s of waiting at {at:f} s comes')
 def hear_next(context: Any, wait: int, at: float) -> None:
     """Hear of the same queue again."""
-    context.waits.hear('main', relay.QueueWait((wait,), 2.0 * wait, at))
+    context.waits.update('main', relay.QueueWait((wait,), 2.0 * wait, at))
 
 
 @then('{left:g} s of waiting are left at {now:f} s')
@@ -196,7 +198,7 @@
     for group in context.groups:
         batcher.add(group)
     waits = relay.QueueWaits()
-    waits.hear('main', batcher.queue_wait(runners(), 0.0))
+    waits.update('main', batcher.queue_wait(runners(), 0.0))
     for due, expected in zip(seconds(due_s), seconds(waits_s), strict=True):
         found = waits.wait_s('main', due, 0.0)
         assert abs(found - expected) < 1e-9, (due, found)
--- a/libs/ragwort_edge/ragwort_edge/_call_stages.py
+++ b/libs/ragwort_edge/ragwort_edge/_call_stages.py
@@ -122,7 +122,7 @@
         usual_s = self._usual_s(run)
         left_s = self.times.target_at - now - self._first_event_s
         spare_s = left_s - run.critical_path_s(usual_s)
-        spare_s += relay.RANK_S * self.times.rank
+        spare_s += relay.SLACK_PER_RANK_S * self.times.rank
         return [
             self.context.stages.waits.wait_s(
                 spec.service, spare_s + work_s, now
--- a/libs/ragwort_edge/ragwort_edge/_stage_owner.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_owner.py
@@ -84,16 +84,19 @@
         if batcher is not None:
             now = self.reactor.seconds()
             runners = self.catalog.fleet.usable(service, now)
-            self.waits.hear(service, batcher.queue_wait(runners, now))
+            self.waits.update(service, batcher.queue_wait(runners, now))
 
     def _known_waits(self, service: str) -> list[model.ServiceWait]:
         self.note_wait(service)
         now = self.reactor.seconds()
         return [
             model.ServiceWait(
-                name, list(word.waits_s), word.late_wait_s, now - word.at
+                name,
+                list(word.waits_s),
+                word.late_wait_s,
+                now - word.measured_at,
             )
-            for name, word in self.waits.fresh(now).items()
+            for name, word in self.waits.recent(now).items()
         ]
 
     def on_ask(self, sender: str, message: model.StageAsk) -> None:
@@ -235,7 +238,7 @@
         if configuration is None:
             return 0.0
         following = configuration.downstream_services.get(service, ())
-        return self.waits.longest_late_s(following, now)
+        return self.waits.max_late_wait_s(following, now)
 
     def _send(
         self, service: str, batcher: relay.Batcher, call: relay.BatchCall
--- a/libs/ragwort_edge/ragwort_edge/_stage_service.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_service.py
@@ -178,7 +178,7 @@
                 wait.late_wait_s,
                 now - max(wait.age_s, 0.0),
             )
-            self.waits.hear(wait.service_name, word)
+            self.waits.update(wait.service_name, word)
 
     def _check_owner(self, group_id: str) -> None:
         wanted = self.wanted.get(group_id)
@@ -274,7 +274,7 @@
     def _log_made(self, wanted: _Wanted) -> None:
         group = wanted.group
         now = self.reactor.seconds()
-        word = self.waits.known.get(wanted.service)
+        word = self.waits.by_service.get(wanted.service)
         self.logger.info(
             'stage-done',
             request=group.work[0].request_id,
@@ -287,7 +287,7 @@
             slack_s=round(group.target_at - now, 3),
             queue_s=[round(s, 3) for s in word.waits_s] if word else None,
             queue_late_s=round(word.late_wait_s, 3) if word else None,
-            queue_age_s=round(now - word.at, 3) if word else None,
+            queue_age_s=round(now - word.measured_at, 3) if word else None,
         )
 
     def _release_unwanted(self, outcomes: list[model.PieceOutcome]) -> None:
--- a/libs/ragwort_lab/ragwort_lab/_stage_bench.py
+++ b/libs/ragwort_lab/ragwort_lab/_stage_bench.py
@@ -134,7 +134,9 @@
     """Return the earlier rule: all groups whose targets have not passed."""
 
     def choose(
-        queue: Iterable[relay.QueuedPiece], pace: relay.Pace, now: float
+        queue: Iterable[relay.QueuedPiece],
+        throughput: relay.Throughput,
+        now: float,
     ) -> set[str]:
         least_s = limits.duration_s(1)
         return {
--- a/libs/ragwort_relay/ragwort_relay/__init__.py
+++ b/libs/ragwort_relay/ragwort_relay/__init__.py
@@ -25,8 +25,8 @@
 from ragwort_relay._fleet import FleetRunner
 from ragwort_relay._fleet import RunnerEntry
 from ragwort_relay._order import ChooseTimely
-from ragwort_relay._order import Pace
-from ragwort_relay._order import RANK_S
+from ragwort_relay._order import SLACK_PER_RANK_S
+from ragwort_relay._order import Throughput
 from ragwort_relay._order import timely_groups
 from ragwort_relay._pieces import BatchCall
 from ragwort_relay._pieces import PieceGroup
@@ -70,7 +70,6 @@
     'next_step',
     'NextStep',
     'ObjectDecoder',
-    'Pace',
     'PieceGroup',
     'PieceWork',
     'PromptCacheIndex',
@@ -78,7 +77,6 @@
     'QueuedPiece',
     'QueueWait',
     'QueueWaits',
-    'RANK_S',
     'RelayCatalog',
     'RelayConfiguration',
     'retry_after_s',
@@ -88,10 +86,12 @@
     'SendResult',
     'ServiceShare',
     'ServiceSpec',
+    'SLACK_PER_RANK_S',
     'StageRun',
     'StageSpec',
     'StreamEvent',
     'StreamProgress',
+    'Throughput',
     'time_after_stage_s',
     'timely_groups',
     'typical_stage_s',
--- a/libs/ragwort_relay/ragwort_relay/_batcher.py
+++ b/libs/ragwort_relay/ragwort_relay/_batcher.py
@@ -114,7 +114,7 @@
         Those behind them in the queue move up, so that waiting for the
         deadline to pass would help nobody, and a part of a group neither.
         """
-        pace = self._sort(runners, now)
+        throughput = self._sort(runners, now)
         least_s = self.limits.duration_s(1)
         kept: list[_pieces.QueuedPiece] = []
         hopeless: list[_pieces.QueuedPiece] = []
@@ -122,7 +122,11 @@
             self.queue, key=lambda piece: piece.group.group_id
         ):
             pieces = list(found)
-            start_s = pace.start_s(len(kept) + len(pieces)) if runners else 0.0
+            start_s = (
+                throughput.start_delay_s(len(kept) + len(pieces))
+                if runners
+                else 0.0
+            )
             is_late = now + start_s + least_s > pieces[0].group.deadline_at
             (hopeless if is_late else kept).extend(pieces)
         self.queue = kept
@@ -208,7 +212,9 @@
             return False
         return downstream_wait_s > MAX_FOLLOWING_WAIT_S
 
-    def _pace(self, runners: Sequence[_fleet.FleetRunner]) -> _order.Pace:
+    def _throughput(
+        self, runners: Sequence[_fleet.FleetRunner]
+    ) -> _order.Throughput:
         """Return how fast the runners take what waits."""
         limits = self.limits
         count = max(len(runners), 1)
@@ -219,7 +225,7 @@
         size = min(
             math.ceil(len(self.queue) / max(idle, 1)), limits.max_pieces
         )
-        return _order.Pace(
+        return _order.Throughput(
             int(idle * full),
             len(runners) * full / full_s,
             limits.duration_s(size) * slowness,
@@ -227,17 +233,17 @@
 
     def _sort(
         self, runners: Sequence[_fleet.FleetRunner], now: float
-    ) -> _order.Pace:
-        """Put the queue in order and return the pace it goes at."""
-        pace = self._pace(runners)
-        self.timely = self.choose_timely(self.queue, pace, now)
+    ) -> _order.Throughput:
+        """Put the queue in order and return the throughput it goes at."""
+        throughput = self._throughput(runners)
+        self.timely = self.choose_timely(self.queue, throughput, now)
         self.timely_due = [
             -math.inf if piece.group.sends else _order.due_at(piece.group)
             for piece in self.queue
             if piece.group.sends or piece.group.group_id in self.timely
         ]
         self.queue.sort(key=self._urgency)
-        return pace
+        return throughput
 
     def _place(
         self,
@@ -311,7 +317,7 @@
         return (
             not group.sends,
             is_late,
-            due + _order.RANK_S * group.rank,
+            due + _order.SLACK_PER_RANK_S * group.rank,
             work.request_id,
             work.stage,
             work.piece,
@@ -433,14 +439,14 @@
         """Return how long a new piece waits before its call starts."""
         if not runners:
             return _waits.QueueWait((), 0.0, now)
-        pace = self._pace(runners)
+        throughput = self._throughput(runners)
         due = sorted(self.timely_due)
         ahead = [
             bisect.bisect_right(due, now + point)
             for point in _waits.DUE_POINTS_S
         ]
         return _waits.QueueWait(
-            tuple(pace.start_s(pieces + 1) for pieces in ahead),
-            pace.start_s(len(self.queue) + 1),
+            tuple(throughput.start_delay_s(pieces + 1) for pieces in ahead),
+            throughput.start_delay_s(len(self.queue) + 1),
             now,
         )
--- a/libs/ragwort_relay/ragwort_relay/_order.py
+++ b/libs/ragwort_relay/ragwort_relay/_order.py
@@ -14,11 +14,11 @@
 from ragwort_relay import _pieces
 
 # Urgency of a rank in seconds of slack.
-RANK_S = 0.25
+SLACK_PER_RANK_S = 0.25
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pace:
+class Throughput:
     """How fast a service takes pieces.
 
     free_pieces can start at once and the others at pieces_per_s; each is
@@ -29,7 +29,7 @@
     pieces_per_s: float
     work_s: float
 
-    def start_s(self, pieces: float) -> float:
+    def start_delay_s(self, pieces: float) -> float:
         """Return when the last of so many pieces starts, from now."""
         behind = pieces - self.free_pieces
         if behind <= 0:
@@ -40,7 +40,9 @@
 
 
 # A rule that names the groups to serve first.
-ChooseTimely = Callable[[Iterable[_pieces.QueuedPiece], Pace, float], set[str]]
+ChooseTimely = Callable[
+    [Iterable[_pieces.QueuedPiece], Throughput, float], set[str]
+]
 
 
 @dataclasses.dataclass(slots=True)
@@ -50,7 +52,7 @@
 
 
 def timely_groups(
-    queue: Iterable[_pieces.QueuedPiece], pace: Pace, now: float
+    queue: Iterable[_pieces.QueuedPiece], throughput: Throughput, now: float
 ) -> set[str]:
     """Return the groups that can meet their targets, all of them together.
 
@@ -67,12 +69,12 @@
     begun = sum(w.count for w in waiting.values() if w.group.sends)
     fresh = [w for w in waiting.values() if not w.group.sends]
     fresh.sort(key=_due)
-    return _choose(fresh, begun, pace, now)
+    return _choose(fresh, begun, throughput, now)
 
 
 def due_at(group: _pieces.PieceGroup) -> float:
     """Return by when a group wants its turn: later for a higher rank."""
-    return group.target_at + RANK_S * group.rank
+    return group.target_at + SLACK_PER_RANK_S * group.rank
 
 
 def _due(waiting: _Waiting) -> tuple[float, str]:
@@ -80,7 +82,7 @@
 
 
 def _choose(
-    fresh: list[_Waiting], begun: int, pace: Pace, now: float
+    fresh: list[_Waiting], begun: int, throughput: Throughput, now: float
 ) -> set[str]:
     """Set groups aside, the least urgent first, until the rest is timely."""
     total = begun
@@ -88,7 +90,7 @@
     least_urgent: list[tuple[int, float, int]] = []
     for index, waiting in enumerate(fresh):
         group = waiting.group
-        if now + pace.work_s > group.target_at:
+        if now + throughput.work_s > group.target_at:
             continue
         # Among equals the one that came last is set aside.
         entry = (-group.rank, -group.target_at, -index)
@@ -96,7 +98,10 @@
         chosen.add(index)
         total += waiting.count
         set_aside: list[tuple[int, float, int]] = []
-        while now + pace.start_s(total) + pace.work_s > group.target_at:
+        while (
+            now + throughput.start_delay_s(total) + throughput.work_s
+            > group.target_at
+        ):
             entry = heapq.heappop(least_urgent)
             set_aside.append(entry)
             total -= fresh[-entry[2]].count
--- a/libs/ragwort_relay/ragwort_relay/_waits.py
+++ b/libs/ragwort_relay/ragwort_relay/_waits.py
@@ -21,7 +21,7 @@
 
     waits_s: tuple[float, ...]
     late_wait_s: float
-    at: float
+    measured_at: float
 
 
 class QueueWaits:
@@ -29,25 +29,25 @@
 
     def __init__(self) -> None:
         """Start without any word."""
-        self.known: dict[str, QueueWait] = {}
+        self.by_service: dict[str, QueueWait] = {}
 
-    def hear(self, service: str, word: QueueWait) -> None:
+    def update(self, service: str, word: QueueWait) -> None:
         """Take word of a service unless there is newer one."""
-        known = self.known.get(service)
-        if known is None or word.at >= known.at:
-            self.known[service] = word
+        known = self.by_service.get(service)
+        if known is None or word.measured_at >= known.measured_at:
+            self.by_service[service] = word
 
-    def fresh(self, now: float) -> dict[str, QueueWait]:
+    def recent(self, now: float) -> dict[str, QueueWait]:
         """Return what is not too old to be used."""
         return {
             service: word
-            for service, word in self.known.items()
-            if now - word.at < MAX_AGE_S
+            for service, word in self.by_service.items()
+            if now - word.measured_at < MAX_AGE_S
         }
 
     def wait_s(self, service: str, due_s: float, now: float) -> float:
         """Return the queueing time for what is due in so many seconds."""
-        word = self.known.get(service)
+        word = self.by_service.get(service)
         if word is None or not word.waits_s:
             return 0.0
         point = bisect.bisect_left(DUE_POINTS_S, due_s)
@@ -56,14 +56,14 @@
 
     def late_wait_s(self, service: str, now: float) -> float:
         """Return the queueing time for what can only be late."""
-        word = self.known.get(service)
+        word = self.by_service.get(service)
         return _left_s(word, word.late_wait_s, now) if word else 0.0
 
-    def longest_late_s(self, services: Iterable[str], now: float) -> float:
+    def max_late_wait_s(self, services: Iterable[str], now: float) -> float:
         """Return the longest queueing time of some services."""
         return max((self.late_wait_s(s, now) for s in services), default=0.0)
 
 
 def _left_s(word: QueueWait, wait_s: float, now: float) -> float:
-    age_s = now - word.at
+    age_s = now - word.measured_at
     return max(wait_s - age_s, 0.0) if age_s < MAX_AGE_S else 0.0
