--- a/features/steps/relay_decision_steps.py
+++ b/features/steps/relay_decision_steps.py
@@ -96,7 +96,7 @@
         requests: list[float] = []
         repeats: list[float] = []
         for budget in budgets:
-            budget.on_hosts(4, now)
+            budget.on_host_count(4, now)
         for host, pause_s, asked, wanted in events:
             now += pause_s
             budgets[host].on_request('s', now, asked)
@@ -127,15 +127,15 @@
             for n in range(1, count + 1)
         ]
         stream = b''.join(whole) + b'id: 99' + end + b'da'
-        cutter = relay.EventCutter()
+        splitter = relay.EventSplitter()
         at = 0
         found: list[relay.StreamEvent] = []
         for cut in sorted(cuts):
-            found += cutter.feed(stream[at:cut])
+            found += splitter.feed(stream[at:cut])
             at = max(at, min(cut, len(stream)))
-        found += cutter.feed(stream[at:])
+        found += splitter.feed(stream[at:])
         assert [event.data for event in found] == whole
-        assert [event.number for event in found] == list(range(1, count + 1))
+        assert [event.event_id for event in found] == list(range(1, count + 1))
 
     hold()
 
@@ -145,7 +145,7 @@
     """Offer events in turn."""
     progress = relay.StreamProgress(None)
     offered = [relay.StreamEvent(b'', number) for number in (1, 2, 2, 3)]
-    passed = [e.number for e in offered if progress.accept(e)]
+    passed = [e.event_id for e in offered if progress.accept(e)]
     assert passed == [1, 2, 3], passed
     try:
         progress.accept(relay.StreamEvent(b'', 5))
--- a/features/steps/relay_http_steps.py
+++ b/features/steps/relay_http_steps.py
@@ -145,7 +145,7 @@
     """Send a request that must not be handed on."""
     context.server = ServerWorld()
     context.server.protocol.dataReceived(REQUESTS[what])
-    context.server.clock.advance(LIMITS.header_s + 0.1)
+    context.server.clock.advance(LIMITS.header_timeout_s + 0.1)
 
 
 @then('it is answered {status:d} and the connection closes')
@@ -180,7 +180,7 @@
 @then('the connection closes after the idle time and nothing is answered')
 def check_idle(context: Any) -> None:
     """Let time pass."""
-    context.server.clock.advance(LIMITS.idle_s - 0.1)
+    context.server.clock.advance(LIMITS.idle_timeout_s - 0.1)
     assert not context.server.is_closed
     context.server.clock.advance(0.2)
     assert context.server.is_closed
@@ -232,8 +232,8 @@
             length = exchange.request.header(b'content-length') or b'0'
             if exchange.request.header(b'transfer-encoding') is None:
                 assert len(exchange.request.body) == int(length)
-        server.clock.advance(LIMITS.idle_s + LIMITS.header_s)
-        server.clock.advance(LIMITS.idle_s)
+        server.clock.advance(LIMITS.idle_timeout_s + LIMITS.header_timeout_s)
+        server.clock.advance(LIMITS.idle_timeout_s)
         assert server.is_closed
 
     hold()
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -265,7 +265,7 @@
             self._send_peer(message)
         self._watch(now)
         self._register(now)
-        self.budget.on_hosts(len(self.members.live()), now)
+        self.budget.on_host_count(len(self.members.live()), now)
         self.peers.close_idle(now)
         self._note_readiness(now)
         for change in self.members.take_changes():
--- a/libs/ragwort_edge/ragwort_edge/_relay_call.py
+++ b/libs/ragwort_edge/ragwort_edge/_relay_call.py
@@ -172,7 +172,7 @@
             rank=self.rank,
             took_s=round(context.reactor.seconds() - self.started_at, 3),
             ran=self.attempts.ran,
-            turned_away=self.attempts.turned_away,
+            turned_away=self.attempts.not_run,
             **self.notes,
             **fields,
         )
@@ -441,7 +441,7 @@
         self, runner: relay.FleetRunner, progress: relay.StreamProgress
     ) -> _Send:
         context = self.context
-        last_event = progress.last_number
+        last_event = progress.last_event_id
         reader = _stream.StreamReader(self, runner, progress)
         runner.state.on_dispatch()
         context.catalog.prompt_cache.record(runner.name, self.facts.prompt)
--- a/libs/ragwort_edge/ragwort_edge/_server.py
+++ b/libs/ragwort_edge/ragwort_edge/_server.py
@@ -115,7 +115,7 @@
         """Start to wait for a request."""
         _sockets.set_options(self.transport)
         self.site.connections.add(self)
-        self._set_timer(self.site.limits().idle_s)
+        self._set_timer(self.site.limits().idle_timeout_s)
 
     def connectionLost(  # noqa: N802
         self, reason: failure.Failure = protocol.connectionDone
@@ -134,7 +134,7 @@
             return
         if self.phase == _Phase.IDLE:
             self.phase = _Phase.READING
-            self._set_timer(self.site.limits().header_s)
+            self._set_timer(self.site.limits().header_timeout_s)
         self.connection.receive_data(data)
         if self.phase == _Phase.ANSWERING:
             self.ahead += len(data)
@@ -191,7 +191,7 @@
             self._reject(413)
         else:
             # A body may take long as long as it comes.
-            self._set_timer(self.site.limits().header_s)
+            self._set_timer(self.site.limits().header_timeout_s)
 
     def _on_request(self) -> None:
         assert self.head is not None
@@ -256,7 +256,7 @@
             return
         self.connection.start_next_cycle()
         self.phase = _Phase.READING
-        self._set_timer(self.site.limits().idle_s)
+        self._set_timer(self.site.limits().idle_timeout_s)
         self._read()
         if (
             self.phase == _Phase.READING
--- a/libs/ragwort_edge/ragwort_edge/_stream.py
+++ b/libs/ragwort_edge/ragwort_edge/_stream.py
@@ -36,7 +36,7 @@
         self.context = call.context
         self.runner = runner
         self.progress = progress
-        self.cutter = relay.EventCutter()
+        self.splitter = relay.EventSplitter()
         self.done: defer.Deferred[Any] = defer.Deferred()
         self.head: _messages.HttpResponse | None = None
         self.body: list[bytes] = []
@@ -104,7 +104,7 @@
         try:
             events = [
                 event
-                for event in self.cutter.feed(data)
+                for event in self.splitter.feed(data)
                 if self.progress.accept(event)
             ]
         except ValueError as error:
@@ -139,7 +139,7 @@
             if not self.done.called:
                 self.done.callback(self.call.judge(self.runner, whole, took_s))
             return
-        if self.cutter.rest.strip():
+        if self.splitter.buffer.strip():
             self._end(relay.SendResult.BROKEN, 'ends within an event')
             return
         if not self.call.exchange.is_started:
--- a/libs/ragwort_relay/ragwort_relay/_admission.py
+++ b/libs/ragwort_relay/ragwort_relay/_admission.py
@@ -47,7 +47,7 @@
 
     verdict: Verdict
     forecast: Forecast
-    left_s: float
+    remaining_s: float
     retry_after_s: float = 0.0
 
 
@@ -90,22 +90,22 @@
     timely: Forecast,
     expected: Forecast,
     target_s: float,
-    left_s: float,
+    remaining_s: float,
     rng: random.Random,
 ) -> Admission:
-    """Decide on a request with left_s seconds to its deadline.
+    """Decide on a request with remaining_s seconds to its deadline.
 
     What can meet its target, target_s from now, goes before what can only
     be late: timely is the forecast for that, expected the one behind all
     that waits.
     """
     if timely.total_s <= target_s:
-        return Admission(Verdict.ADMIT, timely, left_s)
-    if expected.total_s <= left_s * FORECAST_SHARE:
-        return Admission(Verdict.ADMIT_LATE, expected, left_s)
-    excess_s = expected.total_s - left_s * FORECAST_SHARE
+        return Admission(Verdict.ADMIT, timely, remaining_s)
+    if expected.total_s <= remaining_s * FORECAST_SHARE:
+        return Admission(Verdict.ADMIT_LATE, expected, remaining_s)
+    excess_s = expected.total_s - remaining_s * FORECAST_SHARE
     return Admission(
-        Verdict.TOO_LATE, expected, left_s, retry_after_s(excess_s, rng)
+        Verdict.TOO_LATE, expected, remaining_s, retry_after_s(excess_s, rng)
     )
 
 
--- a/libs/ragwort_relay/ragwort_relay/_attempts.py
+++ b/libs/ragwort_relay/ragwort_relay/_attempts.py
@@ -43,26 +43,26 @@
 class Attempts:
     """The sends of one call so far.
 
-    ran counts those that may have run, turned_away those that did not.
+    ran counts those that may have run, not_run those that did not.
     """
 
     route: _routes.Route
     ran: int = 0
-    turned_away: int = 0
+    not_run: int = 0
 
     def on_result(self, result: SendResult) -> None:
         """Count a send."""
         if result in NOT_RUN_RESULTS:
-            self.turned_away += 1
+            self.not_run += 1
         else:
             self.ran += 1
 
-    def may_send_again(self, result: SendResult, left_s: float) -> bool:
+    def may_send_again(self, result: SendResult, remaining_s: float) -> bool:
         """Tell whether the route's kind and limits allow another send."""
-        if left_s < MIN_RETRY_S:
+        if remaining_s < MIN_RETRY_S:
             return False
         if result in NOT_RUN_RESULTS:
-            return self.turned_away < MAX_SENDS_NOT_RUN
+            return self.not_run < MAX_SENDS_NOT_RUN
         if not self.route.may_repeat:
             return False
         return self.ran < max(self.route.attempts, 1)
--- a/libs/ragwort_relay/ragwort_relay/_budget.py
+++ b/libs/ragwort_relay/ragwort_relay/_budget.py
@@ -45,7 +45,7 @@
             collections.deque()
         )
 
-    def on_hosts(self, count: int, now: float) -> None:
+    def on_host_count(self, count: int, now: float) -> None:
         """Note how many hosts live; the most in a window share the slack."""
         counts = self.host_counts
         if counts and counts[-1][1] == count:
--- a/libs/ragwort_relay/ragwort_relay/_events.py
+++ b/libs/ragwort_relay/ragwort_relay/_events.py
@@ -8,13 +8,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """The bytes of one whole event; number is None if it bears no id."""
+    """The bytes of one whole event; event_id is None if it has no id."""
 
     data: bytes
-    number: int | None
+    event_id: int | None
 
 
-class EventCutter:
+class EventSplitter:
     """Collect bytes and return the events that are whole.
 
     A runner may stop in the middle of an event; what is not whole is never
@@ -23,16 +23,16 @@
 
     def __init__(self) -> None:
         """Start with nothing read."""
-        self.rest = b''
+        self.buffer = b''
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Return the events completed by data."""
-        self.rest += data
+        self.buffer += data
         events: list[StreamEvent] = []
-        while (end := _event_end(self.rest)) > 0:
-            chunk, self.rest = self.rest[:end], self.rest[end:]
+        while (end := _event_end(self.buffer)) > 0:
+            chunk, self.buffer = self.buffer[:end], self.buffer[end:]
             events.append(StreamEvent(chunk, _event_number(chunk)))
-        if len(self.rest) > MAX_EVENT_BYTES:
+        if len(self.buffer) > MAX_EVENT_BYTES:
             raise ValueError(f'event of over {MAX_EVENT_BYTES} bytes')
         return events
 
@@ -54,9 +54,9 @@
 class StreamProgress:
     """Remember the last event handed to the caller; drop repeats."""
 
-    def __init__(self, last_number: int | None) -> None:
+    def __init__(self, last_event_id: int | None) -> None:
         """Start behind the event that the caller had last, if any."""
-        self.last_number = last_number
+        self.last_event_id = last_event_id
         self.forwarded = 0
 
     def accept(self, event: StreamEvent) -> bool:
@@ -64,15 +64,15 @@
 
         Raise ValueError if an event is missing before it.
         """
-        if event.number is None:
+        if event.event_id is None:
             return True
-        if self.last_number is not None:
-            if event.number <= self.last_number:
+        if self.last_event_id is not None:
+            if event.event_id <= self.last_event_id:
                 return False
-            if event.number > self.last_number + 1 and self.forwarded:
+            if event.event_id > self.last_event_id + 1 and self.forwarded:
                 raise ValueError(
-                    f'event {event.number} follows {self.last_number}'
+                    f'event {event.event_id} follows {self.last_event_id}'
                 )
-        self.last_number = event.number
+        self.last_event_id = event.event_id
         self.forwarded += 1
         return True
--- a/libs/ragwort_relay/ragwort_relay/_routes.py
+++ b/libs/ragwort_relay/ragwort_relay/_routes.py
@@ -115,8 +115,8 @@
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
-    header_s: float = 3.0
-    idle_s: float = 15.0
+    header_timeout_s: float = 3.0
+    idle_timeout_s: float = 15.0
 
 
 @dataclasses.dataclass(frozen=True)
