--- a/libs/ragwort_edge/ragwort_edge/_relay_call.py
+++ b/libs/ragwort_edge/ragwort_edge/_relay_call.py
@@ -236,7 +236,7 @@
             )
         self.notes['runner'] = runner.name
         if runner.state.report is not None:
-            age_s = now - runner.state.report_at
+            age_s = now - runner.state.reported_at
             self.notes['report_age_s'] = round(age_s, 3)
         self.notes['estimates'] = {
             name: round(value, 3) for name, value in estimates.items()
@@ -346,7 +346,7 @@
                 return _Send(relay.SendResult.NOT_SENT, detail=str(error))
             if self.is_timed_out or self.notes.get('gone'):
                 self.attempts.ran += 1
-                runner.state.on_abandon()
+                runner.state.on_cancel()
                 raise
             return _Send(relay.SendResult.LOST, detail=str(error))
         took_s = context.reactor.seconds() - sent_at
@@ -451,7 +451,7 @@
             return ended
         except defer.CancelledError:
             reader.stop()
-            runner.state.on_abandon()
+            runner.state.on_cancel()
             if reader.was_sent:
                 self.attempts.ran += 1
             raise
--- a/libs/ragwort_edge/ragwort_edge/_stage_owner.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_owner.py
@@ -297,7 +297,7 @@
             if reply.is_misdirected:
                 call.runner.is_misdirected = True
             state.on_failure(model.CallFailure.OVERLOADED, now)
-            state.avoid_until = max(state.avoid_until, now + FULL_PAUSE_S)
+            state.backoff_until = max(state.backoff_until, now + FULL_PAUSE_S)
             self._again(service, batcher, call, f'status {response.status}')
             return
         try:
@@ -370,10 +370,10 @@
         elif problem == _client.CallProblem.CANCELLED:
             kind = model.CallFailure.SILENT
             call.runner.slowness = min(call.runner.slowness * 2, 16.0)
-            call.runner.state.avoid_until = now + call.timeout_s
+            call.runner.state.backoff_until = now + call.timeout_s
         else:
             kind = model.CallFailure.LOST
-            call.runner.state.avoid_until = now + FULL_PAUSE_S
+            call.runner.state.backoff_until = now + FULL_PAUSE_S
         call.runner.state.on_failure(kind, now)
         self._again(service, batcher, call, str(failure.value))
 
--- a/libs/ragwort_lab/ragwort_lab/_policy_bench.py
+++ b/libs/ragwort_lab/ragwort_lab/_policy_bench.py
@@ -146,7 +146,7 @@
 
 
 def _no_ejection() -> Any:
-    return mock.patch.object(policy, 'judge', lambda *_: None)
+    return mock.patch.object(policy, 'detect_outlier', lambda *_: None)
 
 
 def _no_hedges() -> Any:
@@ -154,12 +154,12 @@
 
 
 def _no_admission() -> Any:
-    return mock.patch.object(policy, 'MIN_CHANCE', -1.0)
+    return mock.patch.object(policy, 'MIN_PROBABILITY', -1.0)
 
 
 def _no_economy() -> Any:
     return mock.patch.object(
-        policy.AttainmentTracker, 'may_economise', lambda *_: False
+        policy.AttainmentTracker, 'may_prefer_cost', lambda *_: False
     )
 
 
@@ -197,11 +197,11 @@
     def enqueue_forever(call: policy.QueuedCall, now: float) -> bool:
         return False
 
-    return mock.patch.object(policy, 'is_hopeless', enqueue_forever)
+    return mock.patch.object(policy, 'is_too_late', enqueue_forever)
 
 
 def _no_avoidance() -> Any:
-    return mock.patch.object(policy.RunnerState, '_avoid', lambda *_: None)
+    return mock.patch.object(policy.RunnerState, '_back_off', lambda *_: None)
 
 
 def _no_placement() -> Any:
--- a/libs/ragwort_node/ragwort_node/_admission.py
+++ b/libs/ragwort_node/ragwort_node/_admission.py
@@ -132,7 +132,10 @@
             detail = f'no runner of service {service.name!r} is in service'
             return Refusal(overloaded, detail, BUSY_RETRY_S)
     estimate = dispatcher.estimate(execution, now)
-    if estimate.known and estimate.chance < policy.MIN_CHANCE:
+    if (
+        estimate.has_enough_samples
+        and estimate.probability < policy.MIN_PROBABILITY
+    ):
         wait_s = dispatcher.total_wait_s(execution, now)
         return Refusal(
             _effects.RefusalKind.TOO_LATE,
--- a/libs/ragwort_node/ragwort_node/_dispatcher.py
+++ b/libs/ragwort_node/ragwort_node/_dispatcher.py
@@ -118,7 +118,7 @@
         """Return the usual busy time of a service's runners."""
         times = [s.busy_s for s in self.subset(service, now) if s.results]
         if not times:
-            return policy.UNKNOWN_BUSY_S
+            return policy.DEFAULT_BUSY_S
         return sum(times) / len(times)
 
     def queue_wait_s(self, service: str, workspace: str, now: float) -> float:
@@ -166,12 +166,12 @@
         histogram = self.latencies.find(
             service, execution.class_of_work.name, now
         )
-        cost_s = histogram.mean() if histogram else policy.UNKNOWN_BUSY_S
+        cost_s = histogram.mean() if histogram else policy.DEFAULT_BUSY_S
         call = policy.QueuedCall(
             execution.key,
             execution.request.workspace,
             execution.class_of_work.name,
-            execution.deadline_at - estimate.safe_s,
+            execution.deadline_at - estimate.upper_bound_s,
             now,
             cost_s,
         )
@@ -210,7 +210,7 @@
         usable = [
             state
             for state in states
-            if state.has_room(now) and not policy.is_ejected(state, now)
+            if state.has_capacity(now) and not policy.is_ejected(state, now)
         ]
         untried = [
             state
@@ -287,7 +287,7 @@
                 now,
             ),
             self.typical_s(service.name, now),
-            self.attainment.may_economise(work.target, work.name, now),
+            self.attainment.may_prefer_cost(work.target, work.name, now),
             affinity,
             turn,
         )
@@ -299,7 +299,7 @@
         peers = self.in_service(state.runner.service, now)
         if state not in peers:
             return None
-        ejection = policy.judge(state, peers, now)
+        ejection = policy.detect_outlier(state, peers, now)
         if ejection is None:
             return None
         policy.eject(state, ejection)
--- a/libs/ragwort_node/ragwort_node/_engine.py
+++ b/libs/ragwort_node/ragwort_node/_engine.py
@@ -76,7 +76,7 @@
             execution = self.active.get(call.ident)
             if execution is None or execution.service.name != service:
                 continue
-            if policy.is_hopeless(call, now):
+            if policy.is_too_late(call, now):
                 self._give_up(execution, now)
                 continue
             choice = self.dispatcher.choose(execution, now)
@@ -94,7 +94,7 @@
     def _has_room(self, service: str, now: float) -> bool:
         return any(
             policy.may_probe(state, now)
-            or (state.has_room(now) and not policy.is_ejected(state, now))
+            or (state.has_capacity(now) and not policy.is_ejected(state, now))
             for state in self.dispatcher.in_service(service, now)
         )
 
@@ -323,7 +323,7 @@
         """Give up an attempt without blame, and count its cost as waste."""
         del execution.attempts[str(attempt.ident)]
         state = attempt.state
-        state.on_abandon()
+        state.on_cancel()
         if attempt.is_probe:
             self.accounting.on_probe_end(attempt, False, 0.0, now)
         self.accounting.on_waste(execution, attempt, now)
@@ -396,7 +396,7 @@
         service = execution.service
         self.out.append(_effects.Count(f'failure.{service.name}.{failure}'))
         if self._blames_connection(attempt, failure):
-            state.on_abandon()
+            state.on_cancel()
             execution.fresh_runner = state.runner.name
         else:
             state.on_failure(failure, now)
@@ -463,7 +463,10 @@
         if execution.tries >= MAX_TRIES_PER_STAGE:
             return f'{execution.tries} tries'
         estimate = self.dispatcher.estimate(execution, now)
-        if estimate.known and estimate.chance < policy.MIN_CHANCE:
+        if (
+            estimate.has_enough_samples
+            and estimate.probability < policy.MIN_PROBABILITY
+        ):
             return 'too little time is left'
         # Neither has put any load on a runner, so that trying another one
         # adds none.
--- a/libs/ragwort_node/ragwort_node/_placement.py
+++ b/libs/ragwort_node/ragwort_node/_placement.py
@@ -173,7 +173,7 @@
             self.service,
             decision.rule,
             decision.runner,
-            f'{decision.step}, use {decision.use:.2f}',
+            f'{decision.step}, use {decision.utilisation:.2f}',
         )
         if decision.step == policy.PlacementStep.RECALL:
             self.recalling.add(decision.runner)
--- a/libs/ragwort_policy/ragwort_policy/__init__.py
+++ b/libs/ragwort_policy/ragwort_policy/__init__.py
@@ -4,18 +4,18 @@
 from ragwort_policy._attainment import ClassRecord
 from ragwort_policy._deadline import estimate_finish
 from ragwort_policy._deadline import FinishEstimate
-from ragwort_policy._deadline import MIN_CHANCE
+from ragwort_policy._deadline import MIN_PROBABILITY
 from ragwort_policy._deadline import stage_budget_s
 from ragwort_policy._fair_queue import FairQueue
-from ragwort_policy._fair_queue import is_hopeless
+from ragwort_policy._fair_queue import is_too_late
 from ragwort_policy._fair_queue import QueuedCall
 from ragwort_policy._latency import DecayedHistogram
 from ragwort_policy._latency import LatencyModel
+from ragwort_policy._outliers import detect_outlier
 from ragwort_policy._outliers import eject
 from ragwort_policy._outliers import Ejection
 from ragwort_policy._outliers import EjectionReason
 from ragwort_policy._outliers import is_ejected
-from ragwort_policy._outliers import judge
 from ragwort_policy._outliers import may_probe
 from ragwort_policy._outliers import on_probe_result
 from ragwort_policy._placement import PlacementDecision
@@ -34,8 +34,8 @@
 from ragwort_policy._routing import STRATEGIES
 from ragwort_policy._routing import Strategy
 from ragwort_policy._routing import strategy
+from ragwort_policy._runners import DEFAULT_BUSY_S
 from ragwort_policy._runners import RunnerState
-from ragwort_policy._runners import UNKNOWN_BUSY_S
 from ragwort_policy._subset import choose_subset
 
 __all__ = [
@@ -45,6 +45,8 @@
     'choose_subset',
     'ClassRecord',
     'DecayedHistogram',
+    'DEFAULT_BUSY_S',
+    'detect_outlier',
     'eject',
     'Ejection',
     'EjectionReason',
@@ -55,11 +57,10 @@
     'hedge_budget',
     'HEDGE_QUANTILE',
     'is_ejected',
-    'is_hopeless',
-    'judge',
+    'is_too_late',
     'LatencyModel',
     'may_probe',
-    'MIN_CHANCE',
+    'MIN_PROBABILITY',
     'on_probe_result',
     'PlacementDecision',
     'PlacementHistory',
@@ -75,5 +76,4 @@
     'STRATEGIES',
     'Strategy',
     'strategy',
-    'UNKNOWN_BUSY_S',
 ]
--- a/libs/ragwort_policy/ragwort_policy/_attainment.py
+++ b/libs/ragwort_policy/ragwort_policy/_attainment.py
@@ -98,7 +98,7 @@
             return 0.0
         return max(0.0, target.attainment - record.attainment)
 
-    def may_economise(
+    def may_prefer_cost(
         self, target: model.Target, name: str, now: float
     ) -> bool:
         """Tell whether cost may now weigh more than speed.
--- a/libs/ragwort_policy/ragwort_policy/_deadline.py
+++ b/libs/ragwort_policy/ragwort_policy/_deadline.py
@@ -7,7 +7,7 @@
 
 BUDGET_QUANTILE = 0.9
 UNKNOWN_STAGE_S = 0.1
-MIN_CHANCE = 0.05
+MIN_PROBABILITY = 0.05
 MIN_DEVIATION_S = 0.001
 SAFE_DEVIATIONS = 1.0
 
@@ -16,16 +16,16 @@
 class FinishEstimate:
     """Expected time to finish (seconds) and the chance to be in time.
 
-    known is False while too few samples exist to refuse anything.
+    has_enough_samples is False while too few samples exist to refuse anything.
     """
 
     mean_s: float
     deviation_s: float
-    chance: float
-    known: bool
+    probability: float
+    has_enough_samples: bool
 
     @property
-    def safe_s(self) -> float:
+    def upper_bound_s(self) -> float:
         """Return a time that most such requests do not exceed."""
         return self.mean_s + SAFE_DEVIATIONS * self.deviation_s
 
@@ -74,15 +74,15 @@
     """
     mean_s = queue_wait_s
     variance = 0.0
-    known = True
+    has_enough_samples = True
     for service in stages:
         histogram = latencies.find(service, class_of_work, now)
         if histogram is None:
-            known = False
+            has_enough_samples = False
             continue
         mean_s += histogram.mean()
         variance += histogram.variance()
     deviation_s = max(math.sqrt(variance), MIN_DEVIATION_S)
     score = (remaining_s - mean_s) / deviation_s
-    chance = 0.5 * math.erfc(-score / math.sqrt(2.0))
-    return FinishEstimate(mean_s, deviation_s, chance, known)
+    probability = 0.5 * math.erfc(-score / math.sqrt(2.0))
+    return FinishEstimate(mean_s, deviation_s, probability, has_enough_samples)
--- a/libs/ragwort_policy/ragwort_policy/_fair_queue.py
+++ b/libs/ragwort_policy/ragwort_policy/_fair_queue.py
@@ -21,7 +21,7 @@
     cost_s: float
 
 
-def is_hopeless(call: QueuedCall, now: float) -> bool:
+def is_too_late(call: QueuedCall, now: float) -> bool:
     """Tell whether a call can no longer be in time."""
     return now > call.latest_start
 
--- a/libs/ragwort_policy/ragwort_policy/_outliers.py
+++ b/libs/ragwort_policy/ragwort_policy/_outliers.py
@@ -55,7 +55,7 @@
     )
 
 
-def judge(
+def detect_outlier(
     state: _runners.RunnerState,
     peers: Sequence[_runners.RunnerState],
     now: float,
--- a/libs/ragwort_policy/ragwort_policy/_placement.py
+++ b/libs/ragwort_policy/ragwort_policy/_placement.py
@@ -43,7 +43,7 @@
 
     step: PlacementStep
     runner: str
-    use: float
+    utilisation: float
     rule: str
 
 
@@ -70,30 +70,30 @@
     standby = [load for load in loads if load.standby]
     slots = sum(load.slots for load in active)
     work = sum(load.running + load.queued for load in active)
-    use = work / slots if slots else 1.0
-    if use >= LOW_USE or shortfall > 0.0:
+    utilisation = work / slots if slots else 1.0
+    if utilisation >= LOW_USE or shortfall > 0.0:
         history.low_since = None
     elif history.low_since is None:
         history.low_since = now
-    if standby and (use > HIGH_USE or shortfall > 0.0):
+    if standby and (utilisation > HIGH_USE or shortfall > 0.0):
         cheapest = min(standby, key=lambda load: (load.cost_rate, load.name))
         rule = 'target-missed' if shortfall > 0.0 else 'use-high'
         history.changed_at = now
         return PlacementDecision(
-            PlacementStep.RECALL, cheapest.name, use, rule
+            PlacementStep.RECALL, cheapest.name, utilisation, rule
         )
     if now - history.changed_at < CHANGE_GAP_S:
         return None
     if history.low_since is None or now - history.low_since < LOW_HOLD_S:
         return None
-    return _park(active, work, slots, use, history, now)
+    return _park(active, work, slots, utilisation, history, now)
 
 
 def _park(
     active: list[RunnerLoad],
     work: int,
     slots: int,
-    use: float,
+    utilisation: float,
     history: PlacementHistory,
     now: float,
 ) -> PlacementDecision | None:
@@ -109,6 +109,6 @@
         if left and work / left <= USE_AFTER_PARKING:
             history.changed_at = now
             return PlacementDecision(
-                PlacementStep.PARK, load.name, use, 'use-low'
+                PlacementStep.PARK, load.name, utilisation, 'use-low'
             )
     return None
--- a/libs/ragwort_policy/ragwort_policy/_routing.py
+++ b/libs/ragwort_policy/ragwort_policy/_routing.py
@@ -22,7 +22,7 @@
     """What a strategy may look at besides the runners.
 
     budget_s is the time this stage may take; typical_s the usual time of
-    the service; economise says that cost matters more than speed now.
+    the service; prefer_cost says that cost matters more than speed now.
     """
 
     now: float
@@ -30,7 +30,7 @@
     failure_domain: str
     budget_s: float
     typical_s: float
-    economise: bool = False
+    prefer_cost: bool = False
     affinity_key: str | None = None
     turn: int = 0
 
@@ -130,7 +130,7 @@
         context.rng.shuffle(sample)
     weighed = [(_weigh(state, context), state) for state in sample]
     candidates = tuple(candidate for candidate, _ in weighed)
-    if context.economise:
+    if context.prefer_cost:
         limit_s = context.budget_s * BUDGET_SAFETY
         timely = [pair for pair in weighed if pair[0].expected_s <= limit_s]
         if timely:
@@ -160,7 +160,7 @@
     Bounded load: a runner with clearly more calls than the average is
     passed over, since waiting costs more than the cache saves.
     """
-    if context.affinity_key is None or context.economise:
+    if context.affinity_key is None or context.prefer_cost:
         return None
     by_name = {state.runner.name: state for state in runners}
     average = sum(state.inflight for state in runners) / len(runners)
--- a/libs/ragwort_policy/ragwort_policy/_runners.py
+++ b/libs/ragwort_policy/ragwort_policy/_runners.py
@@ -9,7 +9,7 @@
 QUEUE_FACTOR = 2.0
 AVERAGE_WEIGHT = 0.1
 UNKNOWN_SLOTS = 4
-UNKNOWN_BUSY_S = 0.05
+DEFAULT_BUSY_S = 0.05
 INITIAL_LIMIT = 8.0
 MAX_LIMIT = 512.0
 MIN_LIMIT = 1.0
@@ -32,7 +32,7 @@
     runner: model.Runner
     inflight: int = 0
     report: model.LoadReport | None = None
-    report_at: float = 0.0
+    reported_at: float = 0.0
     inflight_at_report: int = 0
     busy_s: float = 0.0
     latency_s: float = 0.0
@@ -44,22 +44,22 @@
     ejected_until: float = 0.0
     ejections: int = 0
     probing: bool = False
-    avoid_until: float = -math.inf
-    avoidance_s: float = FIRST_AVOIDANCE_S
+    backoff_until: float = -math.inf
+    backoff_s: float = FIRST_AVOIDANCE_S
 
     @property
     def slots(self) -> int:
         """Return how many calls the runner works on at once."""
         return self.report.slots if self.report else UNKNOWN_SLOTS
 
-    def has_room(self, now: float) -> bool:
+    def has_capacity(self, now: float) -> bool:
         """Tell whether one more call would start at the runner soon.
 
         Beyond its slots a runner gets only what keeps it busy until the
         next call arrives; the rest waits here, where fairness and slack
         decide what goes first.
         """
-        if self.inflight >= int(self.limit) or now < self.avoid_until:
+        if self.inflight >= int(self.limit) or now < self.backoff_until:
             return False
         # Without a call of its own a node would hear of no free slot.
         if not self.inflight:
@@ -76,7 +76,7 @@
             return float(self.inflight)
         seen = self.report.running + self.report.queued
         others = max(0, seen - self.inflight_at_report)
-        age_s = now - self.report_at + self.report.age_s
+        age_s = now - self.reported_at + self.report.age_s
         return self.inflight + others * math.exp(-age_s / REPORT_DECAY_S)
 
     def expected_s(self, now: float, typical_s: float) -> float:
@@ -102,14 +102,14 @@
         if self.report is None:
             self.limit = max(self.limit, float(report.slots))
         self.report = report
-        self.report_at = now
+        self.reported_at = now
         self.inflight_at_report = self.inflight
 
     def on_result(self, busy_s: float, latency_s: float, now: float) -> None:
         """Count a whole result."""
         self.inflight -= 1
         self.results += 1
-        self.avoidance_s = FIRST_AVOIDANCE_S
+        self.backoff_s = FIRST_AVOIDANCE_S
         weight = max(AVERAGE_WEIGHT, 1.0 / self.results)
         self.busy_s += weight * (busy_s - self.busy_s)
         self.latency_s += weight * (latency_s - self.latency_s)
@@ -124,19 +124,19 @@
         elif failure != model.CallFailure.REFUSED:
             self._count(1.0)
         if failure == model.CallFailure.UNREACHABLE:
-            self._avoid(now)
+            self._back_off(now)
 
-    def _avoid(self, now: float) -> None:
+    def _back_off(self, now: float) -> None:
         """Pass a runner over for a while that takes no connection.
 
         It looks idle and would otherwise draw every call first. Unlike an
         ejection this needs no share of runners to stay: whatever waits
         here would have failed there.
         """
-        self.avoid_until = now + self.avoidance_s
-        self.avoidance_s = min(2 * self.avoidance_s, MAX_AVOIDANCE_S)
+        self.backoff_until = now + self.backoff_s
+        self.backoff_s = min(2 * self.backoff_s, MAX_AVOIDANCE_S)
 
-    def on_abandon(self) -> None:
+    def on_cancel(self) -> None:
         """Count a call that was cancelled without blame."""
         self.inflight -= 1
 
--- a/libs/ragwort_relay/ragwort_relay/_fleet.py
+++ b/libs/ragwort_relay/ragwort_relay/_fleet.py
@@ -51,7 +51,7 @@
         """Tell whether new work may go to the runner."""
         if self.entry.runner.state == model.HostState.LEAVING:
             return False
-        return not self.is_misdirected and now >= self.state.avoid_until
+        return not self.is_misdirected and now >= self.state.backoff_until
 
 
 class Fleet:
