--- a/libs/ragwort_node/ragwort_node/_core.py
+++ b/libs/ragwort_node/ragwort_node/_core.py
@@ -505,7 +505,7 @@
         self.poller.on_heard(runner, now)
         known = runner in self.control.catalog.draining_runners
         if known != report.draining:
-            sign = state.runner_sign(
+            sign = state.drain_status_object(
                 runner, report.draining, report.state_version
             )
             self.control.learn([sign], now)
--- a/libs/ragwort_state/ragwort_state/__init__.py
+++ b/libs/ragwort_state/ragwort_state/__init__.py
@@ -2,9 +2,9 @@
 
 from ragwort_state._catalog import Catalog
 from ragwort_state._catalog import CONFIG_PREFIX
+from ragwort_state._catalog import drain_status_object
+from ragwort_state._catalog import DRAIN_STATUS_PREFIX
 from ragwort_state._catalog import ObjectProblem
-from ragwort_state._catalog import runner_sign
-from ragwort_state._catalog import SIGN_PREFIX
 from ragwort_state._gossip import BULK_OBJECTS
 from ragwort_state._gossip import Gossip
 from ragwort_state._lease import Lease
@@ -48,6 +48,8 @@
     'CLAIMS_PREFIX',
     'CONFIG_PREFIX',
     'decode_claims',
+    'drain_status_object',
+    'DRAIN_STATUS_PREFIX',
     'Gossip',
     'HostRegistry',
     'HOSTS_OP',
@@ -67,10 +69,8 @@
     'ObjectProblem',
     'ORDER_EXPIRY_S',
     'Replica',
-    'runner_sign',
     'SHARD_COUNT',
     'shard_of',
-    'SIGN_PREFIX',
     'TARGET_FIELDS',
     'target_of',
     'TargetChange',
--- a/libs/ragwort_state/ragwort_state/_catalog.py
+++ b/libs/ragwort_state/ragwort_state/_catalog.py
@@ -6,7 +6,7 @@
 import ragwort_model as model
 
 CONFIG_PREFIX = 'config/'
-SIGN_PREFIX = 'sign/'
+DRAIN_STATUS_PREFIX = 'sign/'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -41,8 +41,8 @@
     def apply(self, item: model.StoredObject) -> None:
         """Put a newer version of an object in force if it is valid."""
         self.generation += 1
-        if item.name.startswith(SIGN_PREFIX):
-            self._apply_sign(item)
+        if item.name.startswith(DRAIN_STATUS_PREFIX):
+            self._apply_drain_status(item)
             return
         name = item.name.removeprefix(CONFIG_PREFIX)
         if item.value is None:
@@ -60,9 +60,9 @@
         """Tell whether placement keeps a runner out of use."""
         return runner.name in self.standby.get(runner.service, frozenset())
 
-    def _apply_sign(self, item: model.StoredObject) -> None:
-        runner = item.name.removeprefix(SIGN_PREFIX)
-        if item.value == DRAINING_SIGN:
+    def _apply_drain_status(self, item: model.StoredObject) -> None:
+        runner = item.name.removeprefix(DRAIN_STATUS_PREFIX)
+        if item.value == DRAINING_VALUE:
             self.draining_runners.add(runner)
         else:
             self.draining_runners.discard(runner)
@@ -108,13 +108,15 @@
                     self.runners_by_service[runner.service].pop(rest, None)
 
 
-DRAINING_SIGN = json.dumps({'draining': True})
-SERVING_SIGN = json.dumps({'draining': False})
+DRAINING_VALUE = json.dumps({'draining': True})
+NOT_DRAINING_VALUE = json.dumps({'draining': False})
 
 
-def runner_sign(
+def drain_status_object(
     runner: str, draining: bool, state_version: int
 ) -> model.StoredObject:
     """Return the replicated object for a runner's own word on draining."""
-    value = DRAINING_SIGN if draining else SERVING_SIGN
-    return model.StoredObject(SIGN_PREFIX + runner, state_version, value)
+    value = DRAINING_VALUE if draining else NOT_DRAINING_VALUE
+    return model.StoredObject(
+        DRAIN_STATUS_PREFIX + runner, state_version, value
+    )
