--- a/features/steps/relay_host_steps.py
+++ b/features/steps/relay_host_steps.py
@@ -124,7 +124,7 @@
     world.run(WATCH_S)
 
     def watches(host: edge.RelayHost) -> bool:
-        return membership.elected(
+        return membership.is_elected(
             host.members, 'store-watcher', 3, host.options.host.region
         )
 
--- a/features/steps/unequal_host_steps.py
+++ b/features/steps/unequal_host_steps.py
@@ -73,7 +73,7 @@
     """Keep the answer for each caller."""
     context.answers = [
         membership.weighted_addresses(
-            membership.entry_addresses(
+            membership.entry_members(
                 context.members, DOMAINS[index % len(DOMAINS)], str(index)
             ),
             MOST,
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -294,7 +294,7 @@
     def _is_watcher(self) -> bool:
         if len(self.members.live()) <= ALL_WATCH_HOSTS:
             return True
-        return membership.elected(
+        return membership.is_elected(
             self.members, WATCHER_ROLE, WATCHERS, self.options.host.region
         )
 
@@ -309,7 +309,7 @@
         """Keep this host's entry in the store, and read others' if alone."""
         is_alone = len(self.members.live()) == 1
         gone: list[str] = []
-        if membership.elected(self.members, JANITOR_ROLE, 1, None):
+        if membership.is_elected(self.members, JANITOR_ROLE, 1, None):
             gone = self.members.gone_for(GONE_FOR_GOOD_S, now)
         for call in self.registry.tick(now, is_alone, gone):
             self.store.call(call)
@@ -496,9 +496,7 @@
 
     def addresses(self, failure_domain: str, caller: str) -> list[str]:
         """Return the addresses that callers should pick from at random."""
-        found = membership.entry_addresses(
-            self.members, failure_domain, caller
-        )
+        found = membership.entry_members(self.members, failure_domain, caller)
         if not found:
             found = self.members.live()
         return membership.weighted_addresses(found, MAX_ADDRESSES)
--- a/libs/ragwort_lab/ragwort_lab/_mutations.py
+++ b/libs/ragwort_lab/ragwort_lab/_mutations.py
@@ -190,7 +190,7 @@
     """Keep what the watchers read to themselves."""
     with (
         mock.patch.object(state.Gossip, 'tick', lambda *_: []),
-        mock.patch.object(membership, 'elected', lambda *_: False),
+        mock.patch.object(membership, 'is_elected', lambda *_: False),
     ):
         yield
 
--- a/libs/ragwort_membership/ragwort_membership/__init__.py
+++ b/libs/ragwort_membership/ragwort_membership/__init__.py
@@ -1,8 +1,8 @@
 """Membership of nodes and the directory of entry addresses."""
 
-from ragwort_membership._directory import elected
-from ragwort_membership._directory import entry_addresses
+from ragwort_membership._directory import entry_members
 from ragwort_membership._directory import host_capacity
+from ragwort_membership._directory import is_elected
 from ragwort_membership._directory import owner_address
 from ragwort_membership._directory import owner_addresses
 from ragwort_membership._directory import weighted_addresses
@@ -12,9 +12,9 @@
 from ragwort_membership._membership import PROBE_INTERVAL_S
 
 __all__ = [
-    'elected',
-    'entry_addresses',
+    'entry_members',
     'host_capacity',
+    'is_elected',
     'Member',
     'MemberChanged',
     'Membership',
--- a/libs/ragwort_membership/ragwort_membership/_directory.py
+++ b/libs/ragwort_membership/ragwort_membership/_directory.py
@@ -18,7 +18,7 @@
     return min(cores, link_mbps / LINK_MBPS_PER_CORE)
 
 
-def entry_addresses(
+def entry_members(
     members: _membership.Membership, failure_domain: str, caller: str
 ) -> list[model.MemberUpdate]:
     """Return accepting live nodes, the caller's failure domain first.
@@ -60,7 +60,7 @@
     ]
 
 
-def elected(
+def is_elected(
     members: _membership.Membership, role: str, count: int, region: str | None
 ) -> bool:
     """Tell whether this node holds a role among the live nodes.
--- a/libs/ragwort_node/ragwort_node/_control.py
+++ b/libs/ragwort_node/ragwort_node/_control.py
@@ -62,12 +62,12 @@
 
     def _is_watcher(self) -> bool:
         region = self.options.host.region
-        return membership.elected(
+        return membership.is_elected(
             self.members, WATCHER_ROLE, WATCHERS_PER_REGION, region
         )
 
     def _is_janitor(self) -> bool:
-        return membership.elected(self.members, JANITOR_ROLE, 1, None)
+        return membership.is_elected(self.members, JANITOR_ROLE, 1, None)
 
     def learn(self, objects: list[model.StoredObject], now: float) -> None:
         """Adopt objects that this node learned first and spread them."""
--- a/libs/ragwort_node/ragwort_node/_core.py
+++ b/libs/ragwort_node/ragwort_node/_core.py
@@ -116,7 +116,7 @@
                 )
                 self.keepers[service] = keeper
             role = f'placement/{service}'
-            wanted = membership.elected(self.control.members, role, 1, None)
+            wanted = membership.is_elected(self.control.members, role, 1, None)
             shortfall = self._shortfall(service, now) if wanted else 0.0
             self.out += keeper.tick(now, wall, wanted, shortfall)
 
@@ -580,7 +580,7 @@
         self, failure_domain: str, caller: str
     ) -> list[model.MemberUpdate]:
         """Return the entry addresses for a caller, best first."""
-        return membership.entry_addresses(
+        return membership.entry_members(
             self.control.members, failure_domain, caller
         )
 
