--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -260,7 +260,7 @@
         self.catalog.now = now
         self.catalog.fleet.remove_expired(now)
         messages = self.members.tick(now, wall)
-        messages += self.gossip.tick(now, self.members.peers())
+        messages += self.gossip.tick(now, self.members.peer_addresses())
         for message in messages:
             self._send_peer(message)
         self._watch(now)
@@ -310,7 +310,7 @@
         is_alone = len(self.members.live()) == 1
         gone: list[str] = []
         if membership.is_elected(self.members, JANITOR_ROLE, 1, None):
-            gone = self.members.gone_for(GONE_FOR_GOOD_S, now)
+            gone = self.members.departed_for(GONE_FOR_GOOD_S, now)
         for call in self.registry.tick(now, is_alone, gone):
             self.store.call(call)
 
@@ -347,7 +347,7 @@
         if not objects:
             return
         if len(objects) <= state.BULK_OBJECTS:
-            self.gossip.spread(objects, len(self.members.peers()))
+            self.gossip.spread(objects, len(self.members.peer_addresses()))
             self._gossip_now()
         configuration = self.catalog.configuration
         for item in objects:
@@ -365,7 +365,7 @@
 
     def _gossip_now(self) -> None:
         now = self.reactor.seconds()
-        for message in self.gossip.tick(now, self.members.peers()):
+        for message in self.gossip.tick(now, self.members.peer_addresses()):
             self._send_peer(message)
 
     def _send_peer(self, effect: model.SendPeerMessage) -> None:
@@ -408,7 +408,7 @@
             case model.StateWant():
                 return gossip.on_want(sender, message)
             case model.StatePush():
-                count = len(members.peers())
+                count = len(members.peer_addresses())
                 self._adopted(gossip.on_push(message, now, count), 'peer')
             case _:
                 self.stages.on_peer(sender, message)
--- a/libs/ragwort_lab/ragwort_lab/_scale_bench.py
+++ b/libs/ragwort_lab/ragwort_lab/_scale_bench.py
@@ -65,7 +65,7 @@
     records = [view.own for view in views]
     for view in views:
         view.merge(records, 0.0)
-        view.pending.clear()
+        view.pending_updates.clear()
     world.run_until(SETTLE_S)
     return world
 
--- a/libs/ragwort_membership/ragwort_membership/_membership.py
+++ b/libs/ragwort_membership/ragwort_membership/_membership.py
@@ -104,7 +104,7 @@
         )
         self.members: dict[str, Member] = {host.name: Member(own, now)}
         self.by_address: dict[str, str] = {host.peer_address: host.name}
-        self.pending: dict[str, int] = {}
+        self.pending_updates: dict[str, int] = {}
         self.probe: _Probe | None = None
         self.relays: dict[int, _Relay] = {}
         self.order: list[str] = []
@@ -152,7 +152,7 @@
             self.role_cache.clear()
             self.owner_cache.clear()
 
-    def peers(self) -> list[str]:
+    def peer_addresses(self) -> list[str]:
         """Return the peer addresses of the other live nodes."""
         return [
             update.peer_address
@@ -160,7 +160,7 @@
             if update.name != self.self_name
         ]
 
-    def gone_for(self, seconds: float, now: float) -> list[str]:
+    def departed_for(self, seconds: float, now: float) -> list[str]:
         """Return the nodes that are dead or left for so long."""
         return [
             name
@@ -202,7 +202,7 @@
 
     def announce(self, wall: float) -> list[model.SendPeerMessage]:
         """Return immediate messages that carry this node's new record."""
-        peers = self.peers()
+        peers = self.peer_addresses()
         targets = self.rng.sample(peers, min(URGENT_PEERS, len(peers)))
         return [self._ping(address, wall) for address in targets]
 
@@ -232,16 +232,18 @@
     def _queue(self, name: str) -> None:
         size = len(self.members)
         rounds = RETRANSMIT_FACTOR * math.ceil(math.log10(size + 1))
-        self.pending[name] = rounds
+        self.pending_updates[name] = rounds
 
     def _take_updates(self) -> list[model.MemberUpdate]:
         """Return the least often sent updates, a bounded number."""
-        names = sorted(self.pending, key=lambda n: (-self.pending[n], n))
+        names = sorted(
+            self.pending_updates, key=lambda n: (-self.pending_updates[n], n)
+        )
         chosen = names[:MAX_UPDATES]
         for name in chosen:
-            self.pending[name] -= 1
-            if self.pending[name] <= 0:
-                del self.pending[name]
+            self.pending_updates[name] -= 1
+            if self.pending_updates[name] <= 0:
+                del self.pending_updates[name]
         return [self.members[n].update for n in chosen if n in self.members]
 
     def _ping(
@@ -360,7 +362,7 @@
         return []
 
     def _indirect(self, probe: _Probe) -> list[model.SendPeerMessage]:
-        others = [a for a in self.peers() if a != probe.target]
+        others = [a for a in self.peer_addresses() if a != probe.target]
         count = min(INDIRECT_PROBES, len(others))
         return [
             model.SendPeerMessage(
@@ -400,7 +402,7 @@
             elif status >= model.MemberStatus.DEAD and age >= FORGET_S:
                 del self.members[name]
                 self.version += 1
-                self.pending.pop(name, None)
+                self.pending_updates.pop(name, None)
                 self.offsets.pop(name, None)
         for sequence, relay in list(self.relays.items()):
             if now >= relay.expires_at:
@@ -485,12 +487,12 @@
         """Merge a full list and answer with ours if asked."""
         # What came in a full list spreads by full lists; as rumours, the
         # start of a large fleet would go on for minutes.
-        rumours = dict(self.pending)
+        rumours = dict(self.pending_updates)
         self.merge(message.members, now)
-        own = self.pending.get(self.self_name)
-        self.pending = rumours
+        own = self.pending_updates.get(self.self_name)
+        self.pending_updates = rumours
         if own is not None:
-            self.pending[self.self_name] = own
+            self.pending_updates[self.self_name] = own
         if not message.reply:
             return []
         return [
--- a/libs/ragwort_node/ragwort_node/_control.py
+++ b/libs/ragwort_node/ragwort_node/_control.py
@@ -50,7 +50,7 @@
         """Return everything that is due now."""
         effects: list[ControlEffect] = []
         effects += self.members.tick(now, wall)
-        effects += self.gossip.tick(now, self.members.peers())
+        effects += self.gossip.tick(now, self.members.peer_addresses())
         effects += self.watcher.tick(now, self._is_watcher())
         effects += self.ledger.tick(now)
         if self.replica.synced and self._is_janitor():
@@ -77,7 +77,7 @@
     def _spread(self, adopted: list[model.StoredObject]) -> None:
         self.adopted += adopted
         if len(adopted) <= state.BULK_OBJECTS:
-            self.gossip.spread(adopted, len(self.members.peers()))
+            self.gossip.spread(adopted, len(self.members.peer_addresses()))
 
     def take_adopted(self) -> list[model.StoredObject]:
         """Return the objects adopted since the last call."""
@@ -118,7 +118,7 @@
             case model.StateWant():
                 return list(self.gossip.on_want(sender, message))
             case model.StatePush():
-                peer_count = len(members.peers())
+                peer_count = len(members.peer_addresses())
                 self.adopted += self.gossip.on_push(message, now, peer_count)
                 return []
             case model.ClaimForward():
