--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -149,7 +149,7 @@
 
 def play(options: SoakOptions) -> SoakResult:
     """Play one seed in this process; logs are kept if a promise broke."""
-    loop = peers.steady_reactor()
+    loop = peers.monotonic_reactor()
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f'soak-{options.seed}-'))
     run = _Run(loop, options, folder)
     loop.callWhenRunning(run.start)
--- a/features/steps/relay_host_steps.py
+++ b/features/steps/relay_host_steps.py
@@ -282,7 +282,7 @@
 time.time = lambda: real() + step[0]
 import ragwort_peers as peers
 
-reactor = peers.steady_reactor()
+reactor = peers.monotonic_reactor()
 reactor.callLater(0.1, fired.append, True)
 step[0], started = -30.0, time.monotonic()
 while not fired and time.monotonic() - started < 5.0:
--- a/libs/ragwort_cli/ragwort_cli/_loop.py
+++ b/libs/ragwort_cli/ragwort_cli/_loop.py
@@ -14,7 +14,7 @@
 
     An error of the action is raised here.
     """
-    reactor = peers.steady_reactor()
+    reactor = peers.monotonic_reactor()
     outcome: list[Any] = []
 
     def begin() -> None:
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -122,7 +122,7 @@
             JOIN_INTERVAL_S,
         )
         self.registry = state.HostRegistry(options.host, self.rng, now)
-        self.peers = peers.PeerLinks(reactor, options.host.peer_address)
+        self.peers = peers.PeerConnections(reactor, options.host.peer_address)
         self.store = store_factory(self._on_store)
         self.metrics = _metrics.Metrics()
         self.caller = _client.HttpCaller(reactor)
@@ -181,7 +181,9 @@
                 self.reactor, relay.CallerLimits, handler, self._on_rejected
             )
             self._listen(address, site)
-        factory = peers.IncomingFactory(self._on_frame, self._on_peer_problem)
+        factory = peers.IncomingPeerFactory(
+            self._on_frame, self._on_peer_problem
+        )
         self._listen(options.host.peer_address, factory)
         self.logger.info('start', address=options.host.caller_address)
         self._tick()
--- a/libs/ragwort_node/ragwort_node/_daemon.py
+++ b/libs/ragwort_node/ragwort_node/_daemon.py
@@ -51,7 +51,7 @@
         self.store = _store_client.StoreClient(
             reactor, self.http, settings.platform, self._on_store
         )
-        self.peers = peers.PeerLinks(reactor, settings.peers)
+        self.peers = peers.PeerConnections(reactor, settings.peers)
         self.streams: dict[str, _caller_http.CallerStream] = {}
         self.unflushed: dict[str, _caller_http.CallerStream] = {}
         self.flush_call: Any = None
@@ -78,7 +78,9 @@
             self.reactor.listenTCP(port, site, backlog=512, interface=host)
         )
         host, port = model.split_address(self.settings.peers)
-        factory = peers.IncomingFactory(self._on_frame, self._on_peer_problem)
+        factory = peers.IncomingPeerFactory(
+            self._on_frame, self._on_peer_problem
+        )
         self.ports.append(
             self.reactor.listenTCP(port, factory, interface=host)
         )
--- a/libs/ragwort_peers/ragwort_peers/__init__.py
+++ b/libs/ragwort_peers/ragwort_peers/__init__.py
@@ -1,11 +1,11 @@
 """Framed thrift over TCP between the system's own hosts."""
 
-from ragwort_peers._peer_links import IncomingFactory
-from ragwort_peers._peer_links import PeerLinks
-from ragwort_peers._steady_clock import steady_reactor
+from ragwort_peers._monotonic_reactor import monotonic_reactor
+from ragwort_peers._peer_connections import IncomingPeerFactory
+from ragwort_peers._peer_connections import PeerConnections
 
 __all__ = [
-    'IncomingFactory',
-    'PeerLinks',
-    'steady_reactor',
+    'IncomingPeerFactory',
+    'monotonic_reactor',
+    'PeerConnections',
 ]
--- a/libs/ragwort_peers/ragwort_peers/_steady_clock.py
+++ b/libs/ragwort_peers/ragwort_peers/_monotonic_reactor.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 
-def steady_reactor() -> Any:
+def monotonic_reactor() -> Any:
     """Return the reactor with its timers on the steady clock.
 
     Twisted goes by the time of day: a step back would hold up all timers
--- a/libs/ragwort_peers/ragwort_peers/_peer_links.py
+++ b/libs/ragwort_peers/ragwort_peers/_peer_connections.py
@@ -45,7 +45,7 @@
         self.transport.loseConnection()
 
 
-class IncomingFactory(protocol.Factory):
+class IncomingPeerFactory(protocol.Factory):
     """Accept links from other nodes."""
 
     noisy = False
@@ -136,7 +136,7 @@
         self.connector = None
 
 
-class PeerLinks:
+class PeerConnections:
     """Carry out SendPeerMessage; messages may be lost, never reordered."""
 
     def __init__(self, reactor: Any, own_address: str) -> None:
