--- a/features/support/adversary.py
+++ b/features/support/adversary.py
@@ -112,7 +112,10 @@
         index = pick % len(self.results)
         host, epoch, result = self.results.pop(index)
         if epoch == self.epochs[host]:
-            self._take(host, list(self.ledgers[host].result(result, self.now)))
+            self._take(
+                host,
+                list(self.ledgers[host].on_store_result(result, self.now)),
+            )
 
     @stateful.precondition(lambda self: self.calls)
     @stateful.rule(pick=strategies.integers(0, 99))
@@ -122,7 +125,10 @@
         if epoch == self.epochs[host]:
             unavailable = model.StoreStatus.UNAVAILABLE
             result = model.StoreResult(call.op, unavailable)
-            self._take(host, list(self.ledgers[host].result(result, self.now)))
+            self._take(
+                host,
+                list(self.ledgers[host].on_store_result(result, self.now)),
+            )
 
     @stateful.rule(host=strategies.sampled_from(HOSTS))
     def restart(self, host: str) -> None:
@@ -195,7 +201,7 @@
         host, result = self.results[pick % len(self.results)]
         if host not in self.paused:
             self.results.remove((host, result))
-            self.leases[host].result(result, self.now)
+            self.leases[host].on_store_result(result, self.now)
 
     @stateful.rule()
     def tick_all(self) -> None:
--- a/features/support/broken.py
+++ b/features/support/broken.py
@@ -32,9 +32,11 @@
 @contextlib.contextmanager
 def _trust_lost_writes() -> Iterator[None]:
     """Take a lease write whose answer was lost for a hold."""
-    original = state.Lease.result
+    original = state.Lease.on_store_result
 
-    def result(lease: Any, found: model.StoreResult, now: float) -> None:
+    def on_store_result(
+        lease: Any, found: model.StoreResult, now: float
+    ) -> None:
         writing = '#w' in found.op
         if writing and found.status == model.StoreStatus.UNAVAILABLE:
             found = model.StoreResult(
@@ -42,7 +44,7 @@
             )
         original(lease, found, now)
 
-    with mock.patch.object(state.Lease, 'result', result):
+    with mock.patch.object(state.Lease, 'on_store_result', on_store_result):
         yield
 
 
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -317,7 +317,7 @@
             self.store.call(call)
 
     def _on_registry(self, result: model.StoreResult, now: float) -> None:
-        found = self.registry.result(result, now)
+        found = self.registry.on_store_result(result, now)
         own = self.options.host.peer_address
         known = set(self.members.seeds) | {own}
         self.members.seeds += [a for a in found if a not in known]
@@ -338,7 +338,7 @@
             if was_away and result.status == model.StoreStatus.OK:
                 self.catalog.fleet.on_store_recovered(now)
                 self.logger.info('store-back', objects=prefix)
-            self._adopted(watcher.result(own, now), prefix)
+            self._adopted(watcher.on_store_result(own, now), prefix)
             if watcher.is_store_away and not was_away:
                 self.logger.warning(
                     'store-away', objects=prefix, status=result.status
--- a/libs/ragwort_lab/ragwort_lab/_state_bench.py
+++ b/libs/ragwort_lab/ragwort_lab/_state_bench.py
@@ -236,7 +236,7 @@
         self.at(
             now + STORE_S,
             lambda later: self._take(
-                later, index, list(ledger.result(result, later))
+                later, index, list(ledger.on_store_result(result, later))
             ),
         )
 
--- a/libs/ragwort_node/ragwort_node/_control.py
+++ b/libs/ragwort_node/ragwort_node/_control.py
@@ -89,12 +89,12 @@
     ) -> list[ControlEffect]:
         """Hand a store result to whoever made the call."""
         if result.op in (state.LIST_OP, state.WATCH_OP):
-            self._spread(self.watcher.result(result, now))
+            self._spread(self.watcher.on_store_result(result, now))
             return []
         if result.op.startswith(state.LEDGER_OP):
-            return list(self.ledger.result(result, now))
+            return list(self.ledger.on_store_result(result, now))
         if result.op.startswith(state.JANITOR_OP):
-            return list(self.janitor.result(result))
+            return list(self.janitor.on_store_result(result))
         return []
 
     def on_peer(
--- a/libs/ragwort_node/ragwort_node/_placement.py
+++ b/libs/ragwort_node/ragwort_node/_placement.py
@@ -215,7 +215,7 @@
         if result.op == self.open_op:
             self.open_op = None
         else:
-            self.lease.result(result, now)
+            self.lease.on_store_result(result, now)
 
 
 def service_of(op: str) -> str | None:
--- a/libs/ragwort_state/ragwort_state/_lease.py
+++ b/libs/ragwort_state/ragwort_state/_lease.py
@@ -106,7 +106,7 @@
             self.seen_version,
         )
 
-    def result(self, result: model.StoreResult, now: float) -> None:
+    def on_store_result(self, result: model.StoreResult, now: float) -> None:
         """Take the end of a read or write."""
         if result.op != self.open_op:
             return
--- a/libs/ragwort_state/ragwort_state/_ledger.py
+++ b/libs/ragwort_state/ragwort_state/_ledger.py
@@ -238,7 +238,7 @@
         bucket.waiting = waiting
         return effects
 
-    def result(
+    def on_store_result(
         self, result: model.StoreResult, now: float
     ) -> list[LedgerEffect]:
         """Take the end of a store call of this ledger."""
@@ -322,7 +322,9 @@
             self.next_bucket += 1
         return [self._call(model.StoreVerb.GET, name)]
 
-    def result(self, result: model.StoreResult) -> list[model.StoreCall]:
+    def on_store_result(
+        self, result: model.StoreResult
+    ) -> list[model.StoreCall]:
         """Return the deletion of a bucket that was found."""
         return [
             self._call(model.StoreVerb.DELETE, item.name)
--- a/libs/ragwort_state/ragwort_state/_registry.py
+++ b/libs/ragwort_state/ragwort_state/_registry.py
@@ -66,7 +66,9 @@
         name = HOSTS_PREFIX + self.host.name
         return model.StoreCall(op, verb, name, value)
 
-    def result(self, result: model.StoreResult, now: float) -> list[str]:
+    def on_store_result(
+        self, result: model.StoreResult, now: float
+    ) -> list[str]:
         """Take a call's end; return the peer addresses that it brought."""
         self.is_open = False
         # A host that starts anew finds its own entry.
--- a/libs/ragwort_state/ragwort_state/_watcher.py
+++ b/libs/ragwort_state/ragwort_state/_watcher.py
@@ -84,7 +84,7 @@
             wait_s=wait_s,
         )
 
-    def result(
+    def on_store_result(
         self, result: model.StoreResult, now: float
     ) -> list[model.StoredObject]:
         """Merge what a call brought and return the objects adopted."""
