--- a/features/steps/relay_host_steps.py
+++ b/features/steps/relay_host_steps.py
@@ -152,10 +152,10 @@
 def check_back(context: Any, index: int) -> None:
     """Look at the watchers and the fleet."""
     host = context.world.hosts[index]
-    assert any(w.is_store_away for w in host.watchers.values())
+    assert any(w.is_store_unavailable for w in host.watchers.values())
     back_by = context.world.clock.seconds() + 2.0
     context.world.run(2.0)
-    assert not any(w.is_store_away for w in host.watchers.values())
+    assert not any(w.is_store_unavailable for w in host.watchers.values())
     back_at = host.catalog.fleet.store_recovered_at
     assert back_at is not None
     assert back_at <= back_by
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -252,7 +252,7 @@
         """Tell whether configuration and runners are known."""
         if self.catalog.configuration is None:
             return False
-        if all(watcher.listed for watcher in self.watchers.values()):
+        if all(watcher.has_listed for watcher in self.watchers.values()):
             return True
         age_s = self.reactor.seconds() - self.started_at
         return self.replica.synced and age_s >= PEER_WORD_GRACE_S
@@ -331,7 +331,7 @@
         for prefix, watcher in self.watchers.items():
             if not result.op.startswith(prefix):
                 continue
-            was_away = watcher.is_store_away
+            was_away = watcher.is_store_unavailable
             own = dataclasses.replace(
                 result, op=result.op.removeprefix(prefix)
             )
@@ -339,7 +339,7 @@
                 self.catalog.fleet.on_store_recovered(now)
                 self.logger.info('store-back', objects=prefix)
             self._adopted(watcher.on_store_result(own, now), prefix)
-            if watcher.is_store_away and not was_away:
+            if watcher.is_store_unavailable and not was_away:
                 self.logger.warning(
                     'store-away', objects=prefix, status=result.status
                 )
--- a/libs/ragwort_lab/ragwort_lab/_scale_bench.py
+++ b/libs/ragwort_lab/ragwort_lab/_scale_bench.py
@@ -120,7 +120,7 @@
 def without_watchers(world: _world.World) -> _world.World:
     """Kill the watchers at the moment of the change, one node stays."""
     for name, slot in world.nodes.items():
-        watching = slot.core.control.watcher.open_op is not None
+        watching = slot.core.control.watcher.pending_op is not None
         if watching and len(world.live_nodes()) > 1:
             world.kill(name)
     return world
--- a/libs/ragwort_state/ragwort_state/_lease.py
+++ b/libs/ragwort_state/ragwort_state/_lease.py
@@ -50,7 +50,7 @@
     holder: str = ''
     seen_version: int = -1
     seen_at: float = 0.0
-    open_op: str | None = None
+    pending_op: str | None = None
     next_at: float = 0.0
     nonce: str = ''
     sent_at: float = 0.0
@@ -72,7 +72,7 @@
         """Return the read or write due now."""
         if self.phase == LeasePhase.HOLDING and now >= self.valid_until:
             self._lose()
-        if self.open_op is not None or now < self.next_at:
+        if self.pending_op is not None or now < self.next_at:
             return []
         if self.phase == LeasePhase.FOLLOWING and not wanted:
             return []
@@ -86,8 +86,8 @@
 
     def _op(self, verb: str) -> str:
         self.operations += 1
-        self.open_op = f'{LEASE_OP}{self.name}#{verb}{self.operations}'
-        return self.open_op
+        self.pending_op = f'{LEASE_OP}{self.name}#{verb}{self.operations}'
+        return self.pending_op
 
     def _read(self) -> model.StoreCall:
         return model.StoreCall(
@@ -108,10 +108,10 @@
 
     def on_store_result(self, result: model.StoreResult, now: float) -> None:
         """Take the end of a read or write."""
-        if result.op != self.open_op:
+        if result.op != self.pending_op:
             return
         writing = result.op.partition('#')[2].startswith('w')
-        self.open_op = None
+        self.pending_op = None
         self.next_at = now + RETRY_S
         if writing and result.status == model.StoreStatus.OK:
             fencing = self.fencing or result.revision
--- a/libs/ragwort_state/ragwort_state/_ledger.py
+++ b/libs/ragwort_state/ragwort_state/_ledger.py
@@ -93,7 +93,7 @@
     version: int | None = None
     claims: dict[str, model.Claim] = dataclasses.field(default_factory=dict)
     waiting: list[_Waiter] = dataclasses.field(default_factory=list)
-    open_op: str | None = None
+    pending_op: str | None = None
     sent: dict[str, model.Claim] = dataclasses.field(default_factory=dict)
     not_before: float = 0.0
     backoff_s: float = MIN_BACKOFF_S
@@ -175,7 +175,7 @@
         for bucket in list(self.buckets.values()):
             effects += self._step(bucket, now)
             idle = now - bucket.used_at > IDLE_BUCKET_S
-            if idle and not bucket.waiting and bucket.open_op is None:
+            if idle and not bucket.waiting and bucket.pending_op is None:
                 del self.buckets[bucket.name]
         return effects
 
@@ -191,26 +191,26 @@
     def _step(self, bucket: _Bucket, now: float) -> list[LedgerEffect]:
         """Settle what is known, then send the next read or write."""
         effects = self._settle(bucket, now)
-        if not bucket.waiting or bucket.open_op is not None:
+        if not bucket.waiting or bucket.pending_op is not None:
             return effects
         if now < bucket.not_before:
             return effects
         self.operations += 1
-        bucket.open_op = f'{LEDGER_OP}{bucket.name}#{self.operations}'
+        bucket.pending_op = f'{LEDGER_OP}{bucket.name}#{self.operations}'
         effects.append(self._next_call(bucket))
         return effects
 
     def _next_call(self, bucket: _Bucket) -> model.StoreCall:
-        assert bucket.open_op is not None
+        assert bucket.pending_op is not None
         if bucket.version is None:
             return model.StoreCall(
-                bucket.open_op, model.StoreVerb.GET, bucket.name
+                bucket.pending_op, model.StoreVerb.GET, bucket.name
             )
         bucket.sent = dict(bucket.claims)
         for waiter in bucket.waiting:
             bucket.sent.setdefault(waiter.claim.key, waiter.claim)
         return model.StoreCall(
-            bucket.open_op,
+            bucket.pending_op,
             model.StoreVerb.PUT,
             bucket.name,
             encode_claims(bucket.sent),
@@ -244,10 +244,10 @@
         """Take the end of a store call of this ledger."""
         name = result.op.removeprefix(LEDGER_OP).partition('#')[0]
         bucket = self.buckets.get(name)
-        if bucket is None or bucket.open_op != result.op:
+        if bucket is None or bucket.pending_op != result.op:
             return []
         writing = bucket.version is not None
-        bucket.open_op = None
+        bucket.pending_op = None
         self._learn(bucket, result, writing, now)
         return self._step(bucket, now)
 
--- a/libs/ragwort_state/ragwort_state/_registry.py
+++ b/libs/ragwort_state/ragwort_state/_registry.py
@@ -25,7 +25,7 @@
     rng: random.Random
     next_at: float
     is_registered: bool = False
-    is_open: bool = False
+    is_pending: bool = False
     has_listed: bool = False
     retry_s: float = MIN_RETRY_S
     removed: set[str] = dataclasses.field(default_factory=set)
@@ -38,21 +38,21 @@
         gone names hosts that are down for so long that they won't return;
         one host at a time passes them.
         """
-        if self.is_open or now < self.next_at:
+        if self.is_pending or now < self.next_at:
             return []
         if not self.is_registered:
-            self.is_open = True
+            self.is_pending = True
             value = json.dumps({'peers': self.host.peer_address})
             return [self._call(REGISTER_OP, model.StoreVerb.PUT, value)]
         if is_alone or not self.has_listed:
-            self.is_open = True
+            self.is_pending = True
             return [
                 model.StoreCall(LIST_OP, model.StoreVerb.LIST, HOSTS_PREFIX)
             ]
         for name in gone:
             if name not in self.removed:
                 self.removed.add(name)
-                self.is_open = True
+                self.is_pending = True
                 return [
                     model.StoreCall(
                         REMOVE_OP, model.StoreVerb.DELETE, HOSTS_PREFIX + name
@@ -70,7 +70,7 @@
         self, result: model.StoreResult, now: float
     ) -> list[str]:
         """Take a call's end; return the peer addresses that it brought."""
-        self.is_open = False
+        self.is_pending = False
         # A host that starts anew finds its own entry.
         done = (
             model.StoreStatus.OK,
--- a/libs/ragwort_state/ragwort_state/_watcher.py
+++ b/libs/ragwort_state/ragwort_state/_watcher.py
@@ -36,12 +36,12 @@
         self.replica = replica
         self.prefix = prefix
         self.max_backoff_s = max_backoff_s
-        self.is_store_away = False
+        self.is_store_unavailable = False
         self.rng = rng
         self.started_at = now
         self.revision = 0
-        self.listed = False
-        self.open_op: str | None = None
+        self.has_listed = False
+        self.pending_op: str | None = None
         self.backoff_s = MIN_BACKOFF_S
         self.not_before = now
         self.cold_list_at = (
@@ -54,28 +54,28 @@
 
     def tick(self, now: float, elected: bool) -> list[model.StoreCall]:
         """Return the store call due now, if any."""
-        if self.listed and now >= self.started_at + PEER_GRACE_S:
+        if self.has_listed and now >= self.started_at + PEER_GRACE_S:
             self.replica.synced = True
-        if self.open_op is not None or now < self.not_before:
+        if self.pending_op is not None or now < self.not_before:
             return []
         if elected:
             # Right after an outage a watch that returns at once tells that
             # the store is back; one that waits would tell with its events.
-            wait_s = 0.0 if self.is_store_away else WATCH_WAIT_S
-            return [self._watch(wait_s) if self.listed else self._list()]
+            wait_s = 0.0 if self.is_store_unavailable else WATCH_WAIT_S
+            return [self._watch(wait_s) if self.has_listed else self._list()]
         if not self.replica.synced and now >= self.cold_list_at:
-            return [] if self.listed else [self._list()]
+            return [] if self.has_listed else [self._list()]
         if self.replica.synced and now >= self.next_poll:
             self.next_poll = now + self._poll_delay()
-            return [self._watch(0.0) if self.listed else self._list()]
+            return [self._watch(0.0) if self.has_listed else self._list()]
         return []
 
     def _list(self) -> model.StoreCall:
-        self.open_op = LIST_OP
+        self.pending_op = LIST_OP
         return model.StoreCall(LIST_OP, model.StoreVerb.LIST, self.prefix)
 
     def _watch(self, wait_s: float) -> model.StoreCall:
-        self.open_op = WATCH_OP
+        self.pending_op = WATCH_OP
         return model.StoreCall(
             WATCH_OP,
             model.StoreVerb.WATCH,
@@ -88,19 +88,19 @@
         self, result: model.StoreResult, now: float
     ) -> list[model.StoredObject]:
         """Merge what a call brought and return the objects adopted."""
-        self.open_op = None
+        self.pending_op = None
         if result.status == model.StoreStatus.GONE:
-            self.listed = False
+            self.has_listed = False
             return []
         if result.status != model.StoreStatus.OK:
             self.not_before = now + self.backoff_s * self.rng.uniform(0.5, 1)
             self.backoff_s = min(2 * self.backoff_s, self.max_backoff_s)
-            self.is_store_away = True
+            self.is_store_unavailable = True
             return []
         self.backoff_s = MIN_BACKOFF_S
-        self.is_store_away = False
+        self.is_store_unavailable = False
         if result.op == LIST_OP:
-            self.listed = True
+            self.has_listed = True
             adopted = self.replica.merge_list(
                 result.objects, result.revision, now, self.prefix
             )
