--- a/features/support/adversary.py
+++ b/features/support/adversary.py
@@ -274,7 +274,7 @@
         )
         self.truth[item] = self.version
         adopted = self.replicas[host].merge([stored], self.now)
-        self.gossips[host].spread(adopted, len(HOSTS) - 1)
+        self.gossips[host].add_rumours(adopted, len(HOSTS) - 1)
 
     @stateful.rule(host=strategies.sampled_from(HOSTS))
     def tick(self, host: str) -> None:
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -348,8 +348,10 @@
     def _adopted(self, objects: list[model.StoredObject], source: str) -> None:
         if not objects:
             return
-        if len(objects) <= state.BULK_OBJECTS:
-            self.gossip.spread(objects, len(self.members.peer_addresses()))
+        if len(objects) <= state.MAX_RUMOURED_OBJECTS:
+            self.gossip.add_rumours(
+                objects, len(self.members.peer_addresses())
+            )
             self._gossip_now()
         configuration = self.catalog.configuration
         for item in objects:
--- a/libs/ragwort_node/ragwort_node/_control.py
+++ b/libs/ragwort_node/ragwort_node/_control.py
@@ -76,8 +76,10 @@
 
     def _spread(self, adopted: list[model.StoredObject]) -> None:
         self.adopted += adopted
-        if len(adopted) <= state.BULK_OBJECTS:
-            self.gossip.spread(adopted, len(self.members.peer_addresses()))
+        if len(adopted) <= state.MAX_RUMOURED_OBJECTS:
+            self.gossip.add_rumours(
+                adopted, len(self.members.peer_addresses())
+            )
 
     def take_adopted(self) -> list[model.StoredObject]:
         """Return the objects adopted since the last call."""
--- a/libs/ragwort_state/ragwort_state/__init__.py
+++ b/libs/ragwort_state/ragwort_state/__init__.py
@@ -5,8 +5,8 @@
 from ragwort_state._catalog import drain_status_object
 from ragwort_state._catalog import DRAIN_STATUS_PREFIX
 from ragwort_state._catalog import ObjectProblem
-from ragwort_state._gossip import BULK_OBJECTS
 from ragwort_state._gossip import Gossip
+from ragwort_state._gossip import MAX_RUMOURED_OBJECTS
 from ragwort_state._lease import Lease
 from ragwort_state._lease import LEASE_OP
 from ragwort_state._lease import LEASE_PREFIX
@@ -42,7 +42,6 @@
     'apply_change',
     'bucket_name',
     'BUCKET_S',
-    'BULK_OBJECTS',
     'Catalog',
     'ClaimResolved',
     'CLAIMS_PREFIX',
@@ -66,6 +65,7 @@
     'LEDGER_OP',
     'LedgerEffect',
     'LIST_OP',
+    'MAX_RUMOURED_OBJECTS',
     'ObjectProblem',
     'ORDER_EXPIRY_S',
     'Replica',
--- a/libs/ragwort_state/ragwort_state/_gossip.py
+++ b/libs/ragwort_state/ragwort_state/_gossip.py
@@ -14,7 +14,7 @@
 DIGEST_INTERVAL_S = 2.0
 MAX_PUSH_BYTES = 64 * 1024
 PER_OBJECT_BYTES = 64
-BULK_OBJECTS = 50
+MAX_RUMOURED_OBJECTS = 50
 
 
 class Gossip:
@@ -35,7 +35,7 @@
         self.next_rumour = now
         self.next_digest = now
 
-    def spread(
+    def add_rumours(
         self, objects: Iterable[model.StoredObject], peer_count: int
     ) -> None:
         """Make rumours of newly adopted objects."""
@@ -146,8 +146,8 @@
         if message.synced:
             self.replica.synced = True
         # A large transfer is repair, not news: rumouring it would flood.
-        if len(adopted) <= BULK_OBJECTS:
-            self.spread(adopted, peer_count)
+        if len(adopted) <= MAX_RUMOURED_OBJECTS:
+            self.add_rumours(adopted, peer_count)
         return adopted
 
 
