--- a/features/support/broken.py
+++ b/features/support/broken.py
@@ -14,9 +14,9 @@
 
 @contextlib.contextmanager
 def _grant_taken_keys() -> Iterator[None]:
-    original = state.Ledger._settle
+    original = state.Ledger._resolve
 
-    def settle(ledger: Any, bucket: Any, now: float) -> Any:
+    def resolve(ledger: Any, bucket: Any, now: float) -> Any:
         taken, granted = model.ClaimStatus.TAKEN, model.ClaimStatus.GRANTED
         return [
             dataclasses.replace(effect, status=granted)
@@ -25,7 +25,7 @@
             for effect in original(ledger, bucket, now)
         ]
 
-    with mock.patch.object(state.Ledger, '_settle', settle):
+    with mock.patch.object(state.Ledger, '_resolve', resolve):
         yield
 
 
--- a/libs/ragwort_cli/ragwort_cli/_operator.py
+++ b/libs/ragwort_cli/ragwort_cli/_operator.py
@@ -119,7 +119,7 @@
         getpass.getuser(),
         uuid.uuid4().hex,
         datetime.datetime.now(datetime.UTC).isoformat(timespec='seconds'),
-        state.target_of(stored.value),
+        state.parse_target(stored.value),
         wanted,
     )
     for _ in range(MAX_TRIES):
--- a/libs/ragwort_state/ragwort_state/__init__.py
+++ b/libs/ragwort_state/ragwort_state/__init__.py
@@ -8,13 +8,13 @@
 from ragwort_state._gossip import Gossip
 from ragwort_state._gossip import MAX_RUMOURED_OBJECTS
 from ragwort_state._lease import Lease
+from ragwort_state._lease import LEASE_DURATION_S
 from ragwort_state._lease import LEASE_OP
 from ragwort_state._lease import LEASE_PREFIX
-from ragwort_state._lease import LEASE_S
 from ragwort_state._lease import LeasePhase
 from ragwort_state._lease import ORDER_EXPIRY_S
 from ragwort_state._ledger import bucket_name
-from ragwort_state._ledger import BUCKET_S
+from ragwort_state._ledger import BUCKET_SPAN_S
 from ragwort_state._ledger import ClaimResolved
 from ragwort_state._ledger import CLAIMS_PREFIX
 from ragwort_state._ledger import decode_claims
@@ -31,8 +31,8 @@
 from ragwort_state._replica import Replica
 from ragwort_state._targets import apply_change
 from ragwort_state._targets import is_applied
+from ragwort_state._targets import parse_target
 from ragwort_state._targets import TARGET_FIELDS
-from ragwort_state._targets import target_of
 from ragwort_state._targets import TargetChange
 from ragwort_state._watcher import LIST_OP
 from ragwort_state._watcher import WATCH_OP
@@ -41,7 +41,7 @@
 __all__ = [
     'apply_change',
     'bucket_name',
-    'BUCKET_S',
+    'BUCKET_SPAN_S',
     'Catalog',
     'ClaimResolved',
     'CLAIMS_PREFIX',
@@ -57,9 +57,9 @@
     'Janitor',
     'JANITOR_OP',
     'Lease',
+    'LEASE_DURATION_S',
     'LEASE_OP',
     'LEASE_PREFIX',
-    'LEASE_S',
     'LeasePhase',
     'Ledger',
     'LEDGER_OP',
@@ -68,11 +68,11 @@
     'MAX_RUMOURED_OBJECTS',
     'ObjectProblem',
     'ORDER_EXPIRY_S',
+    'parse_target',
     'Replica',
     'SHARD_COUNT',
     'shard_of',
     'TARGET_FIELDS',
-    'target_of',
     'TargetChange',
     'WATCH_OP',
     'Watcher',
--- a/libs/ragwort_state/ragwort_state/_lease.py
+++ b/libs/ragwort_state/ragwort_state/_lease.py
@@ -10,7 +10,7 @@
 
 LEASE_PREFIX = 'leases/'
 LEASE_OP = 'lease:'
-LEASE_S = 10.0
+LEASE_DURATION_S = 10.0
 RENEW_AFTER_S = 3.0
 SAFETY_MARGIN_S = 1.0
 ORDER_EXPIRY_S = 2.0
@@ -80,7 +80,7 @@
             return [self._read()]
         if self.phase == LeasePhase.HOLDING:
             return [self._write(now, self.fencing)]
-        if now < self.seen_at + LEASE_S:
+        if now < self.seen_at + LEASE_DURATION_S:
             return [self._read()]
         return [self._write(now, 0)]
 
@@ -118,7 +118,7 @@
             self._hold(fencing, result.revision, now)
         elif result.status == model.StoreStatus.NOT_FOUND:
             self._see(0, '', now)
-            self.seen_at = now - LEASE_S
+            self.seen_at = now - LEASE_DURATION_S
         elif result.status == model.StoreStatus.OK and result.objects:
             self._read_record(result.objects[0], now)
         elif result.status == model.StoreStatus.CONFLICT:
@@ -143,12 +143,12 @@
         """Hold from a write that certainly took effect."""
         if self.phase != LeasePhase.HOLDING:
             self.phase = LeasePhase.HOLDING
-            self.order_from = now + LEASE_S + ORDER_EXPIRY_S
+            self.order_from = now + LEASE_DURATION_S + ORDER_EXPIRY_S
         self.fencing = fencing
         self.holder = self.host
         self.seen_version = version
         self.seen_at = now
-        self.valid_until = self.sent_at + LEASE_S
+        self.valid_until = self.sent_at + LEASE_DURATION_S
         self.next_at = now + RENEW_AFTER_S
 
     def _see(self, version: int, holder: str, now: float) -> None:
--- a/libs/ragwort_state/ragwort_state/_ledger.py
+++ b/libs/ragwort_state/ragwort_state/_ledger.py
@@ -14,7 +14,7 @@
 import ragwort_model as model
 
 SHARD_COUNT = 32
-BUCKET_S = 15
+BUCKET_SPAN_S = 15
 CLAIMS_PREFIX = 'claims/'
 LEDGER_OP = 'ledger:'
 JANITOR_OP = 'janitor:'
@@ -45,7 +45,7 @@
 
 def bucket_name(shard: int, stamp: float) -> str:
     """Return the object name of a shard's bucket for a wall time."""
-    return f'{CLAIMS_PREFIX}{shard:02d}/{int(stamp) // BUCKET_S}'
+    return f'{CLAIMS_PREFIX}{shard:02d}/{int(stamp) // BUCKET_SPAN_S}'
 
 
 def encode_claims(claims: dict[str, model.Claim]) -> str:
@@ -190,7 +190,7 @@
 
     def _step(self, bucket: _Bucket, now: float) -> list[LedgerEffect]:
         """Settle what is known, then send the next read or write."""
-        effects = self._settle(bucket, now)
+        effects = self._resolve(bucket, now)
         if not bucket.waiting or bucket.pending_op is not None:
             return effects
         if now < bucket.not_before:
@@ -217,7 +217,7 @@
             bucket.version,
         )
 
-    def _settle(self, bucket: _Bucket, now: float) -> list[LedgerEffect]:
+    def _resolve(self, bucket: _Bucket, now: float) -> list[LedgerEffect]:
         effects: list[LedgerEffect] = []
         waiting: list[_Waiter] = []
         for waiter in bucket.waiting:
@@ -303,19 +303,19 @@
 
     def __init__(self, retention_s: float, skew_s: float) -> None:
         """Keep buckets for the retention and twice the clock skew."""
-        self.keep_s = retention_s + 2 * skew_s + BUCKET_S
+        self.keep_s = retention_s + 2 * skew_s + BUCKET_SPAN_S
         self.next_bucket: int | None = None
         self.next_shard = 0
         self.operations = 0
 
     def tick(self, wall: float) -> list[model.StoreCall]:
         """Return the next read for the elected janitor to make."""
-        last = int(wall - self.keep_s) // BUCKET_S - 1
+        last = int(wall - self.keep_s) // BUCKET_SPAN_S - 1
         if self.next_bucket is None:
             self.next_bucket = last - JANITOR_WINDOW_BUCKETS
         if self.next_bucket > last:
             return []
-        name = bucket_name(self.next_shard, self.next_bucket * BUCKET_S)
+        name = bucket_name(self.next_shard, self.next_bucket * BUCKET_SPAN_S)
         self.next_shard += 1
         if self.next_shard == SHARD_COUNT:
             self.next_shard = 0
--- a/libs/ragwort_state/ragwort_state/_targets.py
+++ b/libs/ragwort_state/ragwort_state/_targets.py
@@ -20,7 +20,7 @@
     wanted: dict[str, float]
 
 
-def target_of(value: str) -> dict[str, float]:
+def parse_target(value: str) -> dict[str, float]:
     """Return the target fields of a stored class of work."""
     target = json.loads(value)['target']
     return {field: target[field] for field in TARGET_FIELDS}
