--- a/features/operators.feature
+++ b/features/operators.feature
@@ -49,5 +49,5 @@
       | target set parts-lookup                | 2    | at least one    |
       | settings check /nonexistent            | 2    | No such file    |
       | explain abc                            | 1    | no node knows   |
-      | status --node localhost:80             | 2    | IP number       |
+      | status --node localhost:80             | 2    | IPv4 address    |
       | frobnicate                             | 2    | No such command |
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -8,7 +8,7 @@
       | mistake          | line                        | text                   |
       | unknown key      | colour: red                 | colour: unknown key    |
       | missing unit     | address_ttl: 5              | address_ttl            |
-      | host name        | platform: platform.local:80 | not an IP number       |
+      | host name        | platform: platform.local:80 | not an IPv4 address    |
       | port too high    | platform: 127.0.0.1:70000   | port from 1 to 65535   |
       | IP part too high | platform: 127.0.0.300:80    | 0 to 255               |
       | same address     | peers: 127.0.0.1:8101       | give each its own port |
--- a/libs/ragwort_model/ragwort_model/__init__.py
+++ b/libs/ragwort_model/ragwort_model/__init__.py
@@ -1,4 +1,4 @@
-"""Domain types, identifiers, border models and errors of ragwortworks."""
+"""Domain types, identifiers, validation schemas and errors."""
 
 from ragwort_model._documents import ClassDocument
 from ragwort_model._documents import describe_problem
--- a/libs/ragwort_model/ragwort_model/_documents.py
+++ b/libs/ragwort_model/ragwort_model/_documents.py
@@ -1,4 +1,4 @@
-"""Validated forms of the configuration objects kept by the platform."""
+"""Schemas of the configuration objects stored by the platform."""
 
 import json
 import math
@@ -18,13 +18,13 @@
 
 
 class Document(pydantic.BaseModel):
-    """Base of all configuration documents; unknown fields are refused."""
+    """Base of all configuration documents; rejects unknown fields."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
 
 class TargetDocument(Document):
-    """Target of a class of work."""
+    """Service-level target of a class of work."""
 
     attainment: float = pydantic.Field(gt=0, lt=1)
     deadline_s: float = pydantic.Field(gt=0, le=MAX_DEADLINE_S)
@@ -32,7 +32,7 @@
 
 
 class TargetRecord(Document):
-    """An earlier target: who replaced it, and when (UTC, ISO 8601)."""
+    """A replaced target, who replaced it and when (UTC, ISO 8601)."""
 
     target: TargetDocument
     changed_by: str = pydantic.Field(default='', max_length=200)
@@ -40,7 +40,7 @@
 
 
 class ClassDocument(Document):
-    """A class of work, with who changed it last and its old targets."""
+    """A class of work, its last change and its previous targets."""
 
     name: Name
     pipeline: Name
@@ -76,7 +76,7 @@
 
 
 class RunnerDocument(Document):
-    """A runner as the platform's host list shows it."""
+    """A runner as listed by the platform."""
 
     name: Name
     service: Name
@@ -88,14 +88,14 @@
 
 
 class PlacementDocument(Document):
-    """Runners of a service that are kept out of use for now."""
+    """Runners of a service that are on standby and get no calls."""
 
     name: Name
     standby: list[Name] = pydantic.Field(default_factory=list)
     fencing: int = pydantic.Field(default=0, ge=0)
 
 
-_DOCUMENTS: dict[str, type[Document]] = {
+_SCHEMA_BY_KIND: dict[str, type[Document]] = {
     'class': ClassDocument,
     'service': ServiceDocument,
     'pipeline': PipelineDocument,
@@ -106,7 +106,7 @@
 
 
 def describe_problem(error: pydantic.ValidationError) -> str:
-    """Return the first problem of a validation as one plain line."""
+    """Return the first validation error as one line."""
     first = error.errors()[0]
     path = '.'.join(str(part) for part in first['loc']) or 'document'
     return f'{path}: {first["msg"]}'
@@ -115,10 +115,10 @@
 def parse_document(name: str, value: str) -> Document:
     """Return the document stored under an object name such as class/tide.
 
-    Raises ConfigurationError if kind or content is not valid.
+    Raises ConfigurationError if the kind or the content is invalid.
     """
-    kind, _, rest = name.partition('/')
-    schema = _DOCUMENTS.get(kind)
+    kind, _, object_name = name.partition('/')
+    schema = _SCHEMA_BY_KIND.get(kind)
     if schema is None:
         raise _errors.ConfigurationError(f'{name}: unknown kind {kind!r}')
     try:
@@ -129,15 +129,15 @@
         ) from None
     except (ValueError, RecursionError) as error:
         raise _errors.ConfigurationError(f'{name}: {error}') from None
-    if getattr(document, 'name', None) != rest:
+    if getattr(document, 'name', None) != object_name:
         raise _errors.ConfigurationError(
-            f'{name}: the name inside the document differs'
+            f'{name}: field name of the document differs from the object name'
         )
     return document
 
 
 def to_class_of_work(document: ClassDocument) -> _domain.ClassOfWork:
-    """Return the data class for a validated class of work."""
+    """Return the class of work that a valid document describes."""
     target = document.target
     return _domain.ClassOfWork(
         document.name,
@@ -147,15 +147,15 @@
 
 
 def to_runner(document: RunnerDocument) -> _domain.Runner:
-    """Return the data class for a validated runner."""
+    """Return the runner that a valid document describes."""
     return _domain.Runner(**document.model_dump())
 
 
 def to_service(document: ServiceDocument) -> _domain.Service:
-    """Return the data class for a validated service."""
+    """Return the service that a valid document describes."""
     return _domain.Service(**document.model_dump())
 
 
 def is_finite(value: Any) -> bool:
-    """Tell whether value is a number other than infinity or NaN."""
+    """Return whether value is a number other than infinity or NaN."""
     return isinstance(value, int | float) and math.isfinite(value)
--- a/libs/ragwort_model/ragwort_model/_domain.py
+++ b/libs/ragwort_model/ragwort_model/_domain.py
@@ -5,7 +5,7 @@
 
 
 class ServiceKind(enum.StrEnum):
-    """Tell what a service does for a pipeline."""
+    """Role of a service in a pipeline."""
 
     ENCODER = 'encoder'
     RETRIEVER = 'retriever'
@@ -15,11 +15,11 @@
 
 
 class Outcome(enum.StrEnum):
-    """Final state of a request as told to its caller.
+    """Final state of a request as reported to its caller.
 
     NOT_RUN: no stage was ever dispatched. FAILED: only idempotent stages
     were dispatched. UNKNOWN: a non-idempotent call was sent and its result
-    was never seen.
+    was never received.
     """
 
     COMPLETED = 'completed'
@@ -29,7 +29,7 @@
 
 
 class HostState(enum.StrEnum):
-    """Whether a host or runner takes new work."""
+    """Whether a host or runner accepts new work."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service whose runners carry out one stage of a pipeline."""
+    """A service whose runners execute one stage of a pipeline."""
 
     name: str
     kind: ServiceKind
@@ -55,10 +55,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """What operators ask of a class of work.
+    """Service-level target of a class of work, as set by operators.
 
     attainment is the share of requests to complete within deadline_s;
-    cost is the most to spend per completed request, in cost units.
+    cost is the maximum spend per completed request, in cost units.
     """
 
     attainment: float
@@ -77,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Runner:
-    """A model engine or plain service that takes stage calls.
+    """A model engine or plain service that executes stage calls.
 
     cost_rate is in cost units per busy second.
     """
@@ -93,10 +93,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryHost:
-    """A host of the system with the addresses it listens on.
+    """An entry host and the addresses that it listens on.
 
-    capacity is how much work it can carry, in hosts of one core and a
-    link to match.
+    capacity is relative to a host with one core and a link of matching
+    bandwidth.
     """
 
     name: str
--- a/libs/ragwort_model/ragwort_model/_errors.py
+++ b/libs/ragwort_model/ragwort_model/_errors.py
@@ -1,20 +1,20 @@
-"""Exception tree shared by all libraries."""
+"""Exception hierarchy shared by all libraries."""
 
 
 class RagwortError(Exception):
-    """Base of every error that the project raises on purpose."""
+    """Base class of the project's exceptions."""
 
 
 class InvalidInputError(RagwortError):
-    """Raise when a caller, peer, runner or operator sent unusable data."""
+    """Raise when a caller, peer, runner or operator sent invalid data."""
 
 
 class SettingsError(InvalidInputError):
-    """Raise when a settings file does not fit its schema."""
+    """Raise when a settings file does not match its schema."""
 
 
 class ConfigurationError(InvalidInputError):
-    """Raise when a configuration object is not valid."""
+    """Raise when a configuration object is invalid."""
 
 
 class WireError(InvalidInputError):
@@ -22,11 +22,11 @@
 
 
 class StoreError(RagwortError):
-    """Base of the failures of the platform's object API."""
+    """Base class of failures of the platform's object API."""
 
 
 class StoreUnavailableError(StoreError):
-    """Raise when the store did not answer; the change may have been made."""
+    """Raise when the store did not answer; a write may have taken effect."""
 
 
 class VersionConflictError(StoreError):
@@ -38,8 +38,8 @@
 
 
 class RequestError(RagwortError):
-    """Raise in the callers' library when a request brought no answer."""
+    """Raise in the client library when a request got no answer."""
 
 
 class IncompleteAnswerError(RequestError):
-    """Raise when a stream ended without its matching end record."""
+    """Raise when a stream ended without an end record that matches it."""
--- a/libs/ragwort_model/ragwort_model/_hashing.py
+++ b/libs/ragwort_model/ragwort_model/_hashing.py
@@ -1,4 +1,4 @@
-"""Stable hashes: digests of content and rendezvous choice."""
+"""Stable hashes: content digests and rendezvous hashing."""
 
 from collections.abc import Iterable
 import hashlib
@@ -17,7 +17,7 @@
 
 
 def stable_hash(*parts: str) -> int:
-    """Return 64 bits that are equal in every process."""
+    """Return a 64-bit hash that is the same in every process."""
     return xxhash.xxh3_64_intdigest('\x00'.join(parts).encode())
 
 
@@ -26,8 +26,8 @@
 ) -> list[str]:
     """Return the count names with the highest score for key.
 
-    Rendezvous hashing: when a name joins or goes, only the keys that it
-    wins or held change place.
+    Rendezvous hashing: when a name is added or removed, only the keys that
+    it gains or had selected it are reassigned.
     """
     scored = sorted(
         names, key=lambda name: (stable_hash(key, name), name), reverse=True
--- a/libs/ragwort_model/ragwort_model/_ids.py
+++ b/libs/ragwort_model/ragwort_model/_ids.py
@@ -13,9 +13,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptId:
-    """Name one try of one stage of one request.
+    """Identifier of one attempt at one stage of a request.
 
-    The nonce keeps tries of a restarted node apart from earlier ones.
+    The nonce distinguishes attempts of a restarted node from earlier ones.
     """
 
     request_key: str
@@ -24,26 +24,26 @@
     nonce: str
 
     def __str__(self) -> str:
-        """Return the form that travels to runners and back."""
+        """Return the form that is sent to runners and echoed by them."""
         return f'{self.request_key}/{self.stage}/{self.number}/{self.nonce}'
 
 
 def new_request_key() -> str:
-    """Return a fresh UUIDv7, whose time bounds how long a claim is kept."""
+    """Return a new UUIDv7; its time bounds how long a claim is retained."""
     return str(uuid6.uuid7())
 
 
 def request_key_at(wall: float, rng: random.Random) -> str:
-    """Return a UUIDv7 for the given wall time in seconds."""
-    stamp = int(wall * MS_PER_S) & ((1 << 48) - 1)
-    value = stamp << 80 | rng.getrandbits(80)
+    """Return a new UUIDv7 for the given wall-clock time in seconds."""
+    timestamp_ms = int(wall * MS_PER_S) & ((1 << 48) - 1)
+    value = timestamp_ms << 80 | rng.getrandbits(80)
     value = value & ~(0xF << 76) | 0x7 << 76
     value = value & ~(0x3 << 62) | 0x2 << 62
     return str(uuid.UUID(int=value))
 
 
 def request_key_time(key: str) -> float:
-    """Return the wall time in seconds that a request key carries.
+    """Return the wall-clock time in seconds encoded in a request key.
 
     Raises InvalidInputError if the key is not a UUIDv7.
     """
--- a/libs/ragwort_model/ragwort_model/_peer.py
+++ b/libs/ragwort_model/ragwort_model/_peer.py
@@ -7,7 +7,7 @@
 
 
 class MemberStatus(enum.IntEnum):
-    """Liveness of a node; the order breaks ties of one incarnation."""
+    """Liveness of a node; within one incarnation the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -18,8 +18,9 @@
 class ClaimStatus(enum.IntEnum):
     """Answer to a claim.
 
-    GRANTED: the claimant's own nonce stands in the store. TAKEN: another
-    claim holds the key. UNRESOLVED: the store gave no answer in time.
+    GRANTED: the store holds the claim with the claimant's nonce. TAKEN:
+    another claim holds the key. UNRESOLVED: the store did not answer in
+    time.
     """
 
     GRANTED = 0
@@ -29,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """What one node says about another; capacity as in EntryHost."""
+    """State of a node as seen by the sender; capacity as in EntryHost."""
 
     name: str
     incarnation: int
@@ -44,9 +45,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ping:
-    """Probe; wall lets the receiver compare clocks (seconds).
+    """Probe; wall is the sender's wall clock in seconds, to detect skew.
 
-    view is a hash over the sender's list of nodes.
+    view is a hash of the sender's member list.
     """
 
     sequence: int
@@ -75,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberSync:
-    """Full member list, exchanged at start and after a healed split."""
+    """Full member list, exchanged at start and after a partition heals."""
 
     members: list[MemberUpdate]
     reply: bool
@@ -91,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateDigest:
-    """Hash over the replica, and over its buckets once roots differ."""
+    """Hash of the replica, and of its buckets once the roots differ."""
 
     root: int
     buckets: list[int]
@@ -99,7 +100,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateVersions:
-    """Versions that the sender holds in the named buckets."""
+    """Versions of the sender's objects in the given buckets."""
 
     buckets: list[int]
     versions: list[ObjectVersion]
@@ -114,7 +115,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatePush:
-    """Objects for the receiver to merge; synced ends a full exchange."""
+    """Objects to merge; synced marks the end of a full exchange."""
 
     objects: list[_store.StoredObject]
     synced: bool
@@ -140,7 +141,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimReply:
-    """Result of a forwarded claim, with the claim that stands."""
+    """Result of a forwarded claim; standing is the claim in the store."""
 
     key: str
     nonce: str
@@ -160,7 +161,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FollowEvent:
-    """One event of a followed stream, encoded as towards callers."""
+    """One event of a followed stream, encoded as for callers."""
 
     token: str
     event: str
@@ -168,7 +169,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageWork:
-    """One piece of a stage that a host wants made."""
+    """One piece of a stage that a host needs computed."""
 
     request_id: str
     stage: int
@@ -179,10 +180,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageAsk:
-    """Ask a stage service's owner for the pieces of one stage.
+    """Ask the owner of a stage service to compute the pieces of one stage.
 
-    target_s and deadline_s count from the receipt: when the pieces have to
-    be made for the request's target and its deadline.
+    target_s and deadline_s are the seconds from receipt until the pieces
+    are due for the request's target and for its deadline.
     """
 
     group: str
@@ -197,10 +198,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceWait:
-    """The queueing times of a stage service that were so age_s ago.
+    """Queueing times of a stage service, as measured age_s ago.
 
-    What can be timely waits as waits_s says for several times until it is
-    due, what can only be late late_wait_s.
+    waits_s holds the wait of work that can be timely for each of several
+    times until it is due; late_wait_s is the wait of work that can only be
+    late.
     """
 
     service_name: str
@@ -211,7 +213,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageTaken:
-    """The owner has the pieces; waits is what it knows of queues."""
+    """Acknowledge StageAsk; waits are the queueing times the owner knows."""
 
     group: str
     waits: list[ServiceWait]
@@ -228,7 +230,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageReply:
-    """Outcomes of some pieces, and what the owner knows of queues."""
+    """Outcomes of some pieces, and the queueing times the owner knows."""
 
     group: str
     service_name: str
@@ -238,7 +240,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageDrop:
-    """Nobody wants the pieces of a group any more."""
+    """Cancel the pieces of a group that no request needs any more."""
 
     group: str
     service_name: str
@@ -246,7 +248,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageRelease:
-    """Results that were read and can be freed."""
+    """Free results that were read."""
 
     service_name: str
     handles: list[str]
@@ -277,8 +279,8 @@
 class SendPeerMessage:
     """Effect: send a message to the node at address.
 
-    fresh asks for a new connection because the present one is suspected
-    of being silent.
+    fresh requests a new connection because the current one may have
+    stopped delivering.
     """
 
     address: str
--- a/libs/ragwort_model/ragwort_model/_settings.py
+++ b/libs/ragwort_model/ragwort_model/_settings.py
@@ -1,4 +1,4 @@
-"""Schema of the YAML settings files of every daemon."""
+"""Schemas of the YAML settings files of all daemons."""
 
 import pathlib
 from typing import Annotated
@@ -15,7 +15,7 @@
 
 
 class Settings(pydantic.BaseModel):
-    """Base of all settings; unknown keys are refused."""
+    """Base of all settings; rejects unknown keys."""
 
     model_config = pydantic.ConfigDict(
         extra='forbid', frozen=True, validate_default=True
@@ -23,7 +23,7 @@
 
 
 class LimitSettings(Settings):
-    """Bounds on what one node takes from callers."""
+    """Limits on what one node accepts from callers."""
 
     max_body: _units.Size = '1MiB'  # type: ignore[assignment]
     max_open_requests: int = pydantic.Field(default=2000, gt=0)
@@ -32,7 +32,7 @@
 
 
 class NodeSettings(Settings):
-    """An entry host: where it listens and whom it knows at start."""
+    """An entry host: its listening addresses and its seed peers."""
 
     kind: Literal['node']
     name: _documents.Name
@@ -50,19 +50,19 @@
     limits: LimitSettings = LimitSettings()
 
     @pydantic.model_validator(mode='after')
-    def _addresses_differ(self) -> 'NodeSettings':
+    def _check_addresses(self) -> 'NodeSettings':
         if self.callers == self.peers:
             raise ValueError(
                 f'callers and peers are both {self.peers}; '
                 'give each its own port'
             )
         if len(set(self.seeds)) != len(self.seeds):
-            raise ValueError('seeds: an address stands twice; remove one')
+            raise ValueError('seeds: duplicate address; remove one')
         return self
 
 
 class PlatformSettings(Settings):
-    """The stand-in of the platform's object API."""
+    """A fake of the platform's object API."""
 
     kind: Literal['platform']
     name: _documents.Name
@@ -74,7 +74,7 @@
 
 
 class RunnerSettings(Settings):
-    """The stand-in of a model engine or plain service."""
+    """A fake of a model engine or plain service."""
 
     kind: Literal['runner']
     name: _documents.Name
@@ -106,14 +106,14 @@
 def parse_settings(text: str, source: str) -> list[DaemonSettings]:
     """Return the validated settings of all documents of a YAML text.
 
-    Raises SettingsError with the source, the path of the key and what to
-    write instead.
+    Raises SettingsError that names the source and the key and says how to
+    correct it.
     """
     try:
         documents = list(yaml.safe_load_all(text))
     except (yaml.YAMLError, ValueError, RecursionError) as error:
-        line = ' '.join(str(error).split())
-        raise _errors.SettingsError(f'{source}: not YAML: {line}') from None
+        message = ' '.join(str(error).split())
+        raise _errors.SettingsError(f'{source}: not YAML: {message}') from None
     found = [_parse_document(data, source) for data in documents]
     if not found:
         raise _errors.SettingsError(f'{source}: the file is empty')
@@ -124,19 +124,21 @@
 def _parse_document(data: Any, source: str) -> DaemonSettings:
     if not isinstance(data, dict):
         raise _errors.SettingsError(
-            f'{source}: write keys and values, beginning with kind: node'
+            f'{source}: expected a mapping with a key such as kind: node'
         )
     name = data.get('name')
-    where = f'{source}: {name}' if isinstance(name, str) else source
+    location = f'{source}: {name}' if isinstance(name, str) else source
     try:
         return _ADAPTER.validate_python(data)
     except pydantic.ValidationError as error:
-        raise _errors.SettingsError(f'{where}: {_problem(error)}') from None
+        raise _errors.SettingsError(
+            f'{location}: {_describe_error(error)}'
+        ) from None
 
 
 def _check_distinct(found: list[DaemonSettings], source: str) -> None:
-    """Refuse names and addresses that stand twice in one file."""
-    seen: dict[str, str] = {}
+    """Raise SettingsError for duplicate names or addresses in a file."""
+    users: dict[str, str] = {}
     for settings in found:
         values = [('name', settings.name)]
         if isinstance(settings, NodeSettings):
@@ -145,12 +147,12 @@
         else:
             values.append(('listen', settings.listen))
         for key, value in values:
-            if value in seen:
+            if value in users:
                 raise _errors.SettingsError(
                     f'{source}: {settings.name}: {key}: {value} is already '
-                    f'used by {seen[value]}; write another'
+                    f'used by {users[value]}; choose another'
                 )
-            seen[value] = settings.name
+            users[value] = settings.name
 
 
 def load_settings(path: pathlib.Path) -> list[DaemonSettings]:
@@ -165,7 +167,7 @@
 def select_settings(
     found: list[DaemonSettings], kind: str, name: str | None, source: str
 ) -> DaemonSettings:
-    """Return the one document of a kind, by name if there are several."""
+    """Return the only settings of a kind, by name if there are several."""
     matching = [
         settings
         for settings in found
@@ -174,15 +176,15 @@
     if len(matching) == 1:
         return matching[0]
     if not matching:
-        wanted = f'{kind} named {name!r}' if name else kind
-        raise _errors.SettingsError(f'{source}: holds no {wanted}')
+        description = f'{kind} named {name!r}' if name else kind
+        raise _errors.SettingsError(f'{source}: no settings for {description}')
     names = ', '.join(settings.name for settings in matching)
     raise _errors.SettingsError(
-        f'{source}: holds several; choose one with --name: {names}'
+        f'{source}: several settings match; choose one with --name: {names}'
     )
 
 
-def _problem(error: pydantic.ValidationError) -> str:
+def _describe_error(error: pydantic.ValidationError) -> str:
     first = error.errors()[0]
     kinds = ('node', 'platform', 'runner')
     parts = [str(part) for part in first['loc'] if part not in kinds]
@@ -192,5 +194,5 @@
     if first['type'] == 'missing':
         return f'{path}: missing; add this key'
     if first['type'].startswith('union_tag'):
-        return 'kind: write one of node, platform, runner'
+        return 'kind: must be one of node, platform, runner'
     return f'{path}: {first["msg"].removeprefix("Value error, ")}'
--- a/libs/ragwort_model/ragwort_model/_stage.py
+++ b/libs/ragwort_model/ragwort_model/_stage.py
@@ -10,7 +10,7 @@
 class CallFailure(enum.StrEnum):
     """Why a stage call ended without a result.
 
-    The first three are proof that the runner did not run the call.
+    The first three prove that the runner did not run the call.
     """
 
     REFUSED = 'refused'
@@ -31,8 +31,8 @@
 class LoadReport:
     """Load as a runner reports it.
 
-    age_s is how old the figures were when sent; state_version orders the
-    runner's own words about draining.
+    age_s is the age of the figures when sent; state_version orders the
+    runner's reports of whether it drains.
     """
 
     running: int
@@ -46,9 +46,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageCall:
-    """What a runner is asked to do.
+    """A stage call as sent to a runner.
 
-    resume_from is the first chunk wanted, after the text in prior.
+    resume_from is the first chunk to send; prior is the text before it.
     """
 
     attempt: _ids.AttemptId
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallRunner:
-    """Effect: send a stage call; fresh demands a new connection."""
+    """Effect: send a stage call; fresh requires a new connection."""
 
     runner: _domain.Runner
     call: StageCall
@@ -71,13 +71,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelCall:
-    """Effect: stop waiting for a stage call and tell its runner."""
+    """Effect: stop waiting for a stage call and notify its runner."""
 
     attempt: _ids.AttemptId
 
 
 class DesiredState(enum.StrEnum):
-    """What an order wants a runner to be."""
+    """State that an order requests of a runner."""
 
     LOADED = 'loaded'
     UNLOADED = 'unloaded'
@@ -85,10 +85,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunnerOrder:
-    """A wanted state, repeated until it is read back.
+    """A desired state, sent repeatedly until a load report confirms it.
 
-    fencing orders the holders of the lease; expires_wall is the time of
-    day in seconds after which the order must not be obeyed.
+    fencing is the fencing token of the lease; expires_wall is the
+    wall-clock time in seconds after which the runner must ignore the order.
     """
 
     fencing: int
@@ -98,7 +98,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Effect: send an order to a runner; its effect is read back."""
+    """Effect: send an order to a runner; a load report confirms it."""
 
     runner: _domain.Runner
     order: RunnerOrder
@@ -143,14 +143,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageHeartbeat:
-    """Event: a heartbeat of a runner that has not answered yet."""
+    """Event: a heartbeat for a call that has not ended yet."""
 
     attempt: _ids.AttemptId
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageFailed:
-    """Event: a stage call ended without a whole result."""
+    """Event: a stage call ended without a complete result."""
 
     attempt: _ids.AttemptId
     failure: CallFailure
@@ -160,7 +160,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """First event of an answer stream."""
+    """First event of an answer stream; host runs the request."""
 
     key: str
     host: str
@@ -176,7 +176,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Sign of life while no chunk is due."""
+    """Keep-alive event while no chunk is due."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -200,7 +200,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerCaller:
-    """Effect: send an event to the caller behind subscriber."""
+    """Effect: send an event to the caller registered as subscriber."""
 
     subscriber: str
     event: CallerEvent
--- a/libs/ragwort_model/ragwort_model/_store.py
+++ b/libs/ragwort_model/ragwort_model/_store.py
@@ -17,7 +17,7 @@
 class StoreStatus(enum.StrEnum):
     """How a store call ended.
 
-    UNAVAILABLE says nothing about whether a write took effect.
+    After UNAVAILABLE a write may or may not have taken effect.
     """
 
     OK = 'ok'
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredObject:
-    """An object with its version; value is None once deleted."""
+    """An object with its version; value is None after deletion."""
 
     name: str
     version: int
@@ -39,11 +39,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreCall:
-    """Effect: call the object API and hand the result back under op.
+    """Effect: call the object API; op identifies the call in its result.
 
     expected_version 0 means that the object must not exist. since is the
-    revision after which a watch reports changes; wait_s is how long it
-    may stay open.
+    revision after which a watch reports changes; wait_s is how long the
+    watch may stay open.
     """
 
     op: str
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreResult:
-    """Event: the end of the store call named op."""
+    """Event: the result of the store call that op identifies."""
 
     op: str
     status: StoreStatus
