--- a/libs/ragwort_wire/ragwort_wire/__init__.py
+++ b/libs/ragwort_wire/ragwort_wire/__init__.py
@@ -1,4 +1,4 @@
-"""Codecs between nodes and towards callers, runners and the platform."""
+"""Codecs of messages to peers, callers, runners and the platform."""
 
 from ragwort_wire._caller_http import AddressesRecord
 from ragwort_wire._caller_http import AnswerRecord
--- a/libs/ragwort_wire/ragwort_wire/_caller_http.py
+++ b/libs/ragwort_wire/ragwort_wire/_caller_http.py
@@ -1,4 +1,4 @@
-"""Messages between callers and nodes other than the answer stream."""
+"""Messages between callers and nodes, except the answer stream."""
 
 from typing import Annotated
 
@@ -15,7 +15,7 @@
 
 
 class RequestBody(pydantic.BaseModel):
-    """Body of POST /v1/requests."""
+    """Body of POST /v1/requests, validated on receipt."""
 
     model_config = pydantic.ConfigDict(extra='forbid', strict=True)
 
@@ -29,7 +29,7 @@
 
 
 class RequestRecord(msgspec.Struct):
-    """Body of POST /v1/requests as a caller writes it."""
+    """Body of POST /v1/requests, as sent by a caller."""
 
     class_of_work: str
     workspace: str
@@ -51,7 +51,7 @@
 
 
 class EntryAddressRecord(msgspec.Struct):
-    """One entry address."""
+    """Address of one entry host."""
 
     host: str
     address: str
@@ -59,7 +59,7 @@
 
 
 class AddressesRecord(msgspec.Struct):
-    """Answer of GET /v1/addresses, best first; ttl_s is how long to use it."""
+    """Response of GET /v1/addresses, best first; valid for ttl_s."""
 
     addresses: list[EntryAddressRecord]
     ttl_s: float
@@ -67,7 +67,7 @@
 
 
 class AnswerRecord(msgspec.Struct, omit_defaults=True):
-    """Whole answer for callers that do not stream."""
+    """Complete answer for callers that do not stream."""
 
     key: str
     outcome: str
@@ -80,32 +80,36 @@
 def parse_request(body: bytes) -> model.Request:
     """Return the validated request; raise InvalidInputError."""
     try:
-        parsed = RequestBody.model_validate_json(body)
+        request_body = RequestBody.model_validate_json(body)
     except pydantic.ValidationError as error:
         raise model.InvalidInputError(model.describe_problem(error)) from None
-    model.request_key_time(parsed.key)
+    model.request_key_time(request_body.key)
     digest = model.content_digest(
         f'{part}\x00'
-        for part in (parsed.class_of_work, parsed.workspace, parsed.input)
+        for part in (
+            request_body.class_of_work,
+            request_body.workspace,
+            request_body.input,
+        )
     )
     return model.Request(
-        parsed.key,
-        parsed.class_of_work,
-        parsed.workspace,
-        parsed.deadline_ms / 1000,
-        parsed.input,
+        request_body.key,
+        request_body.class_of_work,
+        request_body.workspace,
+        request_body.deadline_ms / 1000,
+        request_body.input,
         digest,
     )
 
 
 def encode_json(value: msgspec.Struct) -> bytes:
-    """Return a message as JSON."""
+    """Encode a message as JSON."""
     return msgspec.json.encode(value)
 
 
 def decode_addresses(body: bytes) -> AddressesRecord:
-    """Return an address answer; raise WireError if it is not one."""
+    """Decode an address response; raise WireError if it is damaged."""
     try:
         return msgspec.json.decode(body, type=AddressesRecord)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise model.WireError(f'damaged address answer: {error}') from None
+        raise model.WireError(f'damaged address response: {error}') from None
--- a/libs/ragwort_wire/ragwort_wire/_frame_check.py
+++ b/libs/ragwort_wire/ragwort_wire/_frame_check.py
@@ -1,8 +1,8 @@
-"""Check of a thrift frame before the codec library reads it.
+"""Validation of a thrift frame before the codec library reads it.
 
-The library's reader believes the sizes that a frame announces: a damaged
-list of two thousand million elements keeps it busy for minutes. Here every
-size is held against the bytes that are left, and nothing is built.
+The library trusts the sizes declared in a frame: a damaged list size of
+two thousand million keeps it busy for minutes. This check compares every
+size with the remaining bytes and builds no objects.
 """
 
 import struct
@@ -16,75 +16,75 @@
 MAP = 13
 SET = 14
 LIST = 15
-# Bytes of the values of fixed size, by thrift type.
+# Size in bytes of fixed_bytes-size values, by thrift type.
 FIXED_BYTES = {2: 1, 3: 1, 4: 8, 6: 2, 8: 4, 10: 8}
-# Fewest bytes that a value of the other types takes.
-LEAST_BYTES = {STRING: 4, STRUCT: 1, MAP: 6, SET: 5, LIST: 5}
-_SIZE = struct.Struct('>i')
+# Minimum size in bytes of values of the other types.
+MIN_BYTES = {STRING: 4, STRUCT: 1, MAP: 6, SET: 5, LIST: 5}
+_SIZE_STRUCT = struct.Struct('>i')
 
 
 def check_frame(data: bytes) -> None:
     """Raise WireError unless data is one well-formed thrift struct."""
     end = _skip_struct(data, 0, 0)
     if end != len(data):
-        raise model.WireError('bytes are left over after the frame')
+        raise model.WireError('trailing bytes after the frame')
 
 
-def _fail() -> model.WireError:
+def _damaged_frame() -> model.WireError:
     return model.WireError('damaged frame')
 
 
-def _skip_struct(data: bytes, at: int, depth: int) -> int:
+def _skip_struct(data: bytes, offset: int, depth: int) -> int:
     if depth > MAX_DEPTH:
-        raise _fail()
+        raise _damaged_frame()
     while True:
-        if at >= len(data):
-            raise _fail()
-        kind = data[at]
-        if kind == STOP:
-            return at + 1
-        # One byte of type and two of field number.
-        at = _skip_value(data, at + 3, kind, depth)
-
-
-def _skip_value(data: bytes, at: int, kind: int, depth: int) -> int:
-    fixed = FIXED_BYTES.get(kind)
-    if fixed is not None:
-        return _within(data, at + fixed)
-    if kind == STRING:
-        return _within(data, at + 4 + _size(data, at))
-    if kind == STRUCT:
-        return _skip_struct(data, at, depth + 1)
-    if kind in (LIST, SET):
-        return _skip_list(data, at, depth)
-    raise _fail()
-
-
-def _skip_list(data: bytes, at: int, depth: int) -> int:
-    _within(data, at + 5)
-    kind = data[at]
-    count = _size(data, at + 1)
-    at += 5
-    fixed = FIXED_BYTES.get(kind)
-    if fixed is not None:
-        return _within(data, at + fixed * count)
-    if kind not in LEAST_BYTES:
-        raise _fail()
-    _within(data, at + LEAST_BYTES[kind] * count)
+        if offset >= len(data):
+            raise _damaged_frame()
+        value_type = data[offset]
+        if value_type == STOP:
+            return offset + 1
+        # The field header is one byte of type and two of field number.
+        offset = _skip_value(data, offset + 3, value_type, depth)
+
+
+def _skip_value(data: bytes, offset: int, value_type: int, depth: int) -> int:
+    fixed_bytes = FIXED_BYTES.get(value_type)
+    if fixed_bytes is not None:
+        return _check_end(data, offset + fixed_bytes)
+    if value_type == STRING:
+        return _check_end(data, offset + 4 + _read_size(data, offset))
+    if value_type == STRUCT:
+        return _skip_struct(data, offset, depth + 1)
+    if value_type in (LIST, SET):
+        return _skip_list(data, offset, depth)
+    raise _damaged_frame()
+
+
+def _skip_list(data: bytes, offset: int, depth: int) -> int:
+    _check_end(data, offset + 5)
+    value_type = data[offset]
+    count = _read_size(data, offset + 1)
+    offset += 5
+    fixed_bytes = FIXED_BYTES.get(value_type)
+    if fixed_bytes is not None:
+        return _check_end(data, offset + fixed_bytes * count)
+    if value_type not in MIN_BYTES:
+        raise _damaged_frame()
+    _check_end(data, offset + MIN_BYTES[value_type] * count)
     for _ in range(count):
-        at = _skip_value(data, at, kind, depth + 1)
-    return at
+        offset = _skip_value(data, offset, value_type, depth + 1)
+    return offset
 
 
-def _size(data: bytes, at: int) -> int:
-    _within(data, at + 4)
-    size: int = _SIZE.unpack_from(data, at)[0]
+def _read_size(data: bytes, offset: int) -> int:
+    _check_end(data, offset + 4)
+    size: int = _SIZE_STRUCT.unpack_from(data, offset)[0]
     if size < 0:
-        raise _fail()
+        raise _damaged_frame()
     return size
 
 
-def _within(data: bytes, end: int) -> int:
+def _check_end(data: bytes, end: int) -> int:
     if end > len(data):
-        raise _fail()
+        raise _damaged_frame()
     return end
--- a/libs/ragwort_wire/ragwort_wire/_peer_codec.py
+++ b/libs/ragwort_wire/ragwort_wire/_peer_codec.py
@@ -1,4 +1,4 @@
-"""Thrift codec of the messages between nodes."""
+"""Thrift codec of peer messages."""
 
 from collections.abc import Callable
 import dataclasses
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerFrame:
-    """A decoded message with the sender's name."""
+    """A decoded message and the name of its sender."""
 
     sender: str
     message: model.PeerMessage
@@ -41,22 +41,23 @@
 
 
 _MESSAGE_TYPES: dict[str, type] = {
-    _field_name(kind): kind for kind in typing.get_args(model.PeerMessage)
+    _field_name(value_type): value_type
+    for value_type in typing.get_args(model.PeerMessage)
 }
 
 
 def encode_peer(sender: str, message: model.PeerMessage) -> bytes:
-    """Return one frame's bytes, without the length prefix."""
-    kind = typing.cast(type, type(message))
+    """Encode a message as one frame, without the length prefix."""
+    value_type = typing.cast(type, type(message))
     envelope = _IDL.Envelope(version=WIRE_VERSION, sender=sender)
-    setattr(envelope, _field_name(kind), _to_thrift(kind)(message))
+    setattr(envelope, _field_name(value_type), _to_thrift(value_type)(message))
     buffer = cymemory.TCyMemoryBuffer()
     _new_protocol(buffer).write_struct(envelope)
     return bytes(buffer.getvalue())
 
 
 def decode_peer(data: bytes) -> PeerFrame:
-    """Return the message of one frame; raise WireError if it is not one."""
+    """Decode one frame; raise WireError if it is damaged."""
     if len(data) > MAX_FRAME_BYTES:
         raise model.WireError(f'frame of {len(data)} bytes is too long')
     _frame_check.check_frame(data)
@@ -64,111 +65,118 @@
     try:
         buffer = cymemory.TCyMemoryBuffer(data)
         _new_protocol(buffer).read_struct(envelope)
-        return _frame(envelope)
+        return _to_frame(envelope)
     except model.WireError:
         raise
-    # The generated reader raises many unrelated types on damaged bytes.
+    # The library raises many unrelated exception types on damaged bytes.
     except Exception as error:
         raise model.WireError(f'damaged frame: {error!r}') from None
 
 
-def _frame(envelope: Any) -> PeerFrame:
+def _to_frame(envelope: Any) -> PeerFrame:
     if envelope.version is None or envelope.version < 1:
-        raise model.WireError('frame without a version')
+        raise model.WireError('frame has no valid version')
     if not envelope.sender:
-        raise model.WireError('frame without a sender')
-    for name, kind in _MESSAGE_TYPES.items():
+        raise model.WireError('frame has no sender')
+    for name, value_type in _MESSAGE_TYPES.items():
         struct = getattr(envelope, name)
         if struct is not None:
-            return PeerFrame(envelope.sender, _from_thrift(kind)(struct))
-    raise model.WireError('frame of an unknown kind')
+            return PeerFrame(envelope.sender, _from_thrift(value_type)(struct))
+    raise model.WireError('frame has no message of a known type')
 
 
 Converter = Callable[[Any], Any]
 
 
-def _same(value: Any) -> Any:
+def _identity(value: Any) -> Any:
     return value
 
 
 @functools.cache
-def _to_thrift(kind: Any) -> Converter:
-    """Return the function that turns a value of a type into thrift's."""
-    origin = typing.get_origin(kind)
+def _to_thrift(value_type: Any) -> Converter:
+    """Return the function that converts a value of value_type to thrift."""
+    origin = typing.get_origin(value_type)
     if origin is types.UnionType:
-        return _optional(_to_thrift(typing.get_args(kind)[0]))
+        return _optional(_to_thrift(typing.get_args(value_type)[0]))
     if origin is list:
-        inner = _to_thrift(typing.get_args(kind)[0])
-        if inner is _same:
-            return _same
-        return lambda value: [inner(item) for item in value]
-    if dataclasses.is_dataclass(kind):
-        return _struct_writer(typing.cast(type, kind))
-    if issubclass(kind, enum.IntEnum):
+        convert_inner = _to_thrift(typing.get_args(value_type)[0])
+        if convert_inner is _identity:
+            return _identity
+        return lambda value: [convert_inner(item) for item in value]
+    if dataclasses.is_dataclass(value_type):
+        return _struct_writer(typing.cast(type, value_type))
+    if issubclass(value_type, enum.IntEnum):
         return int
-    return _same
+    return _identity
 
 
-def _optional(inner: Converter) -> Converter:
-    return lambda value: None if value is None else inner(value)
+def _optional(convert_inner: Converter) -> Converter:
+    return lambda value: None if value is None else convert_inner(value)
 
 
-def _struct_writer(kind: type) -> Converter:
-    struct_type = getattr(_IDL, kind.__name__)
+def _struct_writer(value_type: type) -> Converter:
+    struct_type = getattr(_IDL, value_type.__name__)
     fields = [
         (name, _to_thrift(hint))
-        for name, hint in typing.get_type_hints(kind).items()
+        for name, hint in typing.get_type_hints(value_type).items()
     ]
 
     def convert(value: Any) -> Any:
         struct = struct_type()
-        for name, inner in fields:
-            setattr(struct, name, inner(getattr(value, name)))
+        for name, convert_inner in fields:
+            setattr(struct, name, convert_inner(getattr(value, name)))
         return struct
 
     return convert
 
 
 @functools.cache
-def _from_thrift(kind: Any) -> Converter:
-    """Return the function that checks and converts a thrift value."""
-    origin = typing.get_origin(kind)
+def _from_thrift(value_type: Any) -> Converter:
+    """Return the function that validates and converts a thrift value."""
+    origin = typing.get_origin(value_type)
     if origin is types.UnionType:
-        return _optional(_from_thrift(typing.get_args(kind)[0]))
+        return _optional(_from_thrift(typing.get_args(value_type)[0]))
     if origin is list:
-        inner = _from_thrift(typing.get_args(kind)[0])
-        return lambda value: [inner(item) for item in _present(value)]
-    if dataclasses.is_dataclass(kind):
-        return _struct_reader(typing.cast(type, kind))
-    if issubclass(kind, enum.IntEnum):
-        return lambda value: kind(_present(value))
-    return _scalar_reader(kind)
+        convert_inner = _from_thrift(typing.get_args(value_type)[0])
+        return lambda value: [convert_inner(item) for item in _require(value)]
+    if dataclasses.is_dataclass(value_type):
+        return _struct_reader(typing.cast(type, value_type))
+    if issubclass(value_type, enum.IntEnum):
+        return lambda value: value_type(_require(value))
+    return _scalar_reader(value_type)
 
 
-def _present(value: Any) -> Any:
+def _require(value: Any) -> Any:
     if value is None:
         raise model.WireError('a required field is missing')
     return value
 
 
-def _struct_reader(kind: type) -> Converter:
+def _struct_reader(value_type: type) -> Converter:
     fields = [
         (name, _from_thrift(hint))
-        for name, hint in typing.get_type_hints(kind).items()
+        for name, hint in typing.get_type_hints(value_type).items()
     ]
 
     def convert(struct: Any) -> Any:
-        _present(struct)
-        return kind(*[inner(getattr(struct, name)) for name, inner in fields])
+        _require(struct)
+        return value_type(
+            *[
+                convert_inner(getattr(struct, name))
+                for name, convert_inner in fields
+            ]
+        )
 
     return convert
 
 
-def _scalar_reader(kind: type) -> Converter:
+def _scalar_reader(value_type: type) -> Converter:
     def convert(value: Any) -> Any:
-        # Text that is not UTF-8 comes out of the library as bytes.
-        if type(value) is not kind:
-            raise model.WireError(f'expected {kind.__name__}, got {value!r}')
+        # The library returns text that is not UTF-8 as bytes.
+        if type(value) is not value_type:
+            raise model.WireError(
+                f'expected {value_type.__name__}, got {value!r}'
+            )
         return value
 
     return convert
--- a/libs/ragwort_wire/ragwort_wire/_platform_http.py
+++ b/libs/ragwort_wire/ragwort_wire/_platform_http.py
@@ -1,4 +1,4 @@
-"""Records of the platform's object API."""
+"""Codec of the platform's object API."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class ObjectRecord(msgspec.Struct):
-    """An object; value is null once deleted."""
+    """An object; value is null after deletion."""
 
     name: str
     version: int
@@ -21,7 +21,7 @@
 
 
 class ObjectsRecord(msgspec.Struct):
-    """Answer to a call: objects and the revision they were read at."""
+    """Response with objects and the revision they were read at."""
 
     objects: list[ObjectRecord]
     revision: int
@@ -41,7 +41,7 @@
 
 
 def encode_store_result(result: model.StoreResult) -> bytes:
-    """Return the body of an answer of the object API."""
+    """Encode the response body of a store call."""
     return msgspec.json.encode(
         ObjectsRecord(
             [ObjectRecord(o.name, o.version, o.value) for o in result.objects],
@@ -51,7 +51,7 @@
 
 
 def decode_store_result(op: str, code: int, body: bytes) -> model.StoreResult:
-    """Return the result of the call op; damaged answers are UNAVAILABLE."""
+    """Decode the response to call op; UNAVAILABLE if it is damaged."""
     status = _STATUS_BY_HTTP_CODE.get(code, model.StoreStatus.UNAVAILABLE)
     if status == model.StoreStatus.UNAVAILABLE:
         return model.StoreResult(op, status)
@@ -66,14 +66,14 @@
 
 
 def encode_write(call: model.StoreCall) -> bytes:
-    """Return the body of a conditional write."""
+    """Encode the request body of a conditional write."""
     return msgspec.json.encode(
         WriteRecord(call.value or '', call.expected_version)
     )
 
 
 def decode_write(body: bytes) -> WriteRecord:
-    """Return the write of a body; raise WireError if it is not one."""
+    """Decode a conditional write; raise WireError if it is damaged."""
     try:
         return msgspec.json.decode(body, type=WriteRecord)
     except (msgspec.MsgspecError, ValueError) as error:
--- a/libs/ragwort_wire/ragwort_wire/_runner_http.py
+++ b/libs/ragwort_wire/ragwort_wire/_runner_http.py
@@ -1,4 +1,4 @@
-"""Records between nodes and runners: calls, result lines, orders."""
+"""Codec between nodes and runners: calls, result lines, orders."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class CallRecord(msgspec.Struct):
-    """Body of POST /v1/calls; deadline_ms is what remains of it."""
+    """Body of POST /v1/calls; deadline_ms is the remaining time."""
 
     attempt: str
     service: str
@@ -18,7 +18,7 @@
 
 
 class LoadRecord(msgspec.Struct):
-    """Load as a runner reports it."""
+    """Load report of a runner."""
 
     running: int
     queued: int
@@ -38,7 +38,7 @@
 
 
 class ResultChunk(msgspec.Struct, tag='chunk', tag_field='type'):
-    """Part seq of a stage result."""
+    """Chunk seq of a stage result."""
 
     attempt: str
     seq: int
@@ -46,7 +46,7 @@
 
 
 class ResultHeartbeat(msgspec.Struct, tag='heartbeat', tag_field='type'):
-    """The call is queued or running."""
+    """Keep-alive record of a call that is queued or running."""
 
     attempt: str
 
@@ -86,7 +86,7 @@
 
 
 def encode_call(call: model.StageCall) -> bytes:
-    """Return the body of a call."""
+    """Encode a call as a request body."""
     return _ENCODER.encode(
         CallRecord(
             str(call.attempt),
@@ -101,7 +101,7 @@
 
 
 def decode_call(body: bytes) -> CallRecord:
-    """Return the call of a body; raise WireError if it is not one."""
+    """Decode a call; raise WireError if it is damaged."""
     try:
         return _CALLS.decode(body)
     except (msgspec.MsgspecError, ValueError) as error:
@@ -109,12 +109,12 @@
 
 
 def encode_result(record: ResultRecord) -> bytes:
-    """Return one line of a result with its line end."""
+    """Encode a result record as one line with its line end."""
     return _ENCODER.encode(record) + b'\n'
 
 
 def decode_result(line: bytes) -> ResultRecord:
-    """Return the record of one line; raise WireError if it is not one."""
+    """Decode one line of a result; raise WireError if it is damaged."""
     try:
         return _RESULTS.decode(line)
     except (msgspec.MsgspecError, ValueError) as error:
@@ -122,32 +122,32 @@
 
 
 def encode_order(order: model.RunnerOrder) -> bytes:
-    """Return the body of an order."""
+    """Encode an order as a request body."""
     return _ENCODER.encode(
         OrderRecord(order.fencing, order.desired.value, order.expires_wall)
     )
 
 
 def decode_order(body: bytes) -> model.RunnerOrder:
-    """Return the order of a body; raise WireError if it is not one."""
+    """Decode an order; raise WireError if it is damaged."""
     try:
         record = msgspec.json.decode(body, type=OrderRecord)
-        wanted = model.DesiredState(record.wanted)
+        desired = model.DesiredState(record.wanted)
     except (msgspec.MsgspecError, ValueError) as error:
         raise model.WireError(f'damaged order: {error}') from None
-    return model.RunnerOrder(record.fencing, wanted, record.expires_wall)
+    return model.RunnerOrder(record.fencing, desired, record.expires_wall)
 
 
 def decode_load(body: bytes) -> model.LoadReport:
-    """Return the load report of a body; raise WireError."""
+    """Decode a load report; raise WireError if it is damaged."""
     try:
-        return load_report(msgspec.json.decode(body, type=LoadRecord))
+        return to_load_report(msgspec.json.decode(body, type=LoadRecord))
     except (msgspec.MsgspecError, ValueError) as error:
         raise model.WireError(f'damaged load report: {error}') from None
 
 
-def load_report(record: LoadRecord) -> model.LoadReport:
-    """Return the data class for a load record."""
+def to_load_report(record: LoadRecord) -> model.LoadReport:
+    """Return the load report that a record holds."""
     return model.LoadReport(
         record.running,
         record.queued,
@@ -167,7 +167,7 @@
     | model.StageEnd
     | model.StageFailed
 ):
-    """Return the event that a record means for the call named attempt."""
+    """Return the event for a result record of the given attempt's call."""
     match record:
         case ResultChunk():
             return model.StageChunk(
@@ -182,20 +182,20 @@
                 record.count,
                 record.digest,
                 record.busy_s,
-                load_report(record.load),
+                to_load_report(record.load),
             )
         case ResultRefused():
-            return _refusal(attempt, record)
+            return _to_refusal_event(attempt, record)
         case ResultError():
             return model.StageFailed(
                 attempt, model.CallFailure.FAILED, record.reason
             )
 
 
-def _refusal(
+def _to_refusal_event(
     attempt: model.AttemptId, record: ResultRefused
 ) -> model.StageFailed:
-    # A refusal proves nothing about a call other than the one it names.
+    # A refusal proves that a call was not run only if it names that call.
     if record.attempt != str(attempt):
         return model.StageFailed(
             attempt, model.CallFailure.PROTOCOL, 'refusal of another call'
@@ -205,5 +205,5 @@
         model.CallFailure.REFUSED if draining else model.CallFailure.OVERLOADED
     )
     return model.StageFailed(
-        attempt, failure, record.reason, load_report(record.load)
+        attempt, failure, record.reason, to_load_report(record.load)
     )
--- a/libs/ragwort_wire/ragwort_wire/_stream.py
+++ b/libs/ragwort_wire/ragwort_wire/_stream.py
@@ -1,4 +1,4 @@
-"""Records of the answer stream towards callers, one JSON line each."""
+"""Codec of the answer stream to callers, one JSON line per record."""
 
 import msgspec
 
@@ -6,27 +6,27 @@
 
 
 class AcceptedRecord(msgspec.Struct, tag='accepted', tag_field='type'):
-    """The request was taken by host."""
+    """The request was accepted by host."""
 
     key: str
     host: str
 
 
 class ChunkRecord(msgspec.Struct, tag='chunk', tag_field='type'):
-    """Part seq of the answer."""
+    """Chunk seq of the answer."""
 
     seq: int
     data: str
 
 
 class HeartbeatRecord(msgspec.Struct, tag='heartbeat', tag_field='type'):
-    """Sign of life."""
+    """Keep-alive record."""
 
 
 class EndRecord(
     msgspec.Struct, tag='end', tag_field='type', omit_defaults=True
 ):
-    """Outcome, number of chunks and digest over all of them."""
+    """Outcome, number of chunks and digest of all of them."""
 
     key: str
     outcome: str
@@ -43,19 +43,19 @@
 
 
 def encode_event(event: model.CallerEvent) -> bytes:
-    """Return an event as JSON without a line end."""
-    return _ENCODER.encode(_record(event))
+    """Encode an event as JSON without a line end."""
+    return _ENCODER.encode(_to_record(event))
 
 
 def decode_event(line: bytes | str) -> model.CallerEvent:
-    """Return the event of one line; raise WireError if it is not one."""
+    """Decode one line; raise WireError if it is damaged."""
     try:
-        return _event(_DECODER.decode(line))
+        return _to_event(_DECODER.decode(line))
     except (msgspec.MsgspecError, ValueError) as error:
         raise model.WireError(f'damaged stream record: {error}') from None
 
 
-def _record(event: model.CallerEvent) -> StreamRecord:
+def _to_record(event: model.CallerEvent) -> StreamRecord:
     match event:
         case model.Chunk():
             return ChunkRecord(event.seq, event.data)
@@ -74,7 +74,7 @@
             )
 
 
-def _event(record: StreamRecord) -> model.CallerEvent:
+def _to_event(record: StreamRecord) -> model.CallerEvent:
     match record:
         case ChunkRecord():
             return model.Chunk(record.seq, record.data)
