--- a/libs/ragwort_client/ragwort_client/_client.py
+++ b/libs/ragwort_client/ragwort_client/_client.py
@@ -1,4 +1,4 @@
-"""Client of a ragwortworks system: addresses, failover, whole answers."""
+"""Client of ragwortworks: address cache, failover, stream assembly."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -17,10 +17,10 @@
 import ragwort_model as model
 import ragwort_wire as wire
 
-SILENCE_S = 3.0
+INACTIVITY_TIMEOUT_S = 3.0
 DEADLINE_MARGIN_S = 2.0
-MAX_TRIES = 6
-PAUSE_S = 0.2
+MAX_ATTEMPTS = 6
+RETRY_DELAY_S = 0.2
 
 
 OnChunk = Callable[[int, str], None]
@@ -32,9 +32,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What became of a request; chunks is whole if outcome is completed.
+    """Result of a request; chunks is complete if outcome is completed.
 
-    first_chunk_s and duration_s count from the first try, in seconds.
+    first_chunk_s and duration_s are seconds since the first attempt.
     """
 
     key: str
@@ -44,28 +44,28 @@
     host: str
     first_chunk_s: float | None
     duration_s: float
-    tries: int
+    attempts: int
 
 
 @dataclasses.dataclass(slots=True)
 class _Progress:
-    """What was received of one answer over all its connections."""
+    """State of one answer across all its http_client."""
 
     key: str
     started_at: float
-    ends_at: float
+    give_up_at: float
     chunks: list[str] = dataclasses.field(default_factory=list)
     host: str = ''
     first_chunk_s: float | None = None
     end: model.End | None = None
     refusal: wire.Problem | None = None
-    tries: int = 0
+    attempts: int = 0
 
     def restart(self) -> None:
-        """Begin anew, since the host that ran the request is gone.
+        """Discard the answer, since the host that ran the request is gone.
 
-        Another run may word its answer differently, so that no chunk of
-        the first may be kept.
+        Another run may produce a different answer, so that no chunk of the
+        first may be kept.
         """
         self.host = ''
         self.chunks.clear()
@@ -74,7 +74,7 @@
 
 
 class _StreamReader(protocol.Protocol):
-    """Read records of one connection into a progress."""
+    """Apply the records of one connection to the progress."""
 
     def __init__(
         self,
@@ -85,25 +85,27 @@
         self.reactor = reactor
         self.progress = progress
         self.on_chunk = on_chunk
-        self.rest = b''
+        self.buffer = b''
         self.done: defer.Deferred[None] = defer.Deferred()
-        self.silence = reactor.callLater(SILENCE_S, self._close)
+        self.inactivity_timer = reactor.callLater(
+            INACTIVITY_TIMEOUT_S, self._close
+        )
 
     def _close(self) -> None:
         self.transport.loseConnection()
         self._finish()
 
     def _finish(self) -> None:
-        if self.silence.active():
-            self.silence.cancel()
+        if self.inactivity_timer.active():
+            self.inactivity_timer.cancel()
         if not self.done.called:
             self.done.callback(None)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         if self.done.called:
             return
-        self.silence.reset(SILENCE_S)
-        *lines, self.rest = (self.rest + data).split(b'\n')
+        self.inactivity_timer.reset(INACTIVITY_TIMEOUT_S)
+        *lines, self.buffer = (self.buffer + data).split(b'\n')
         for line in lines:
             self._on_line(line)
 
@@ -125,7 +127,7 @@
     def _on_chunk(self, event: model.Chunk) -> None:
         progress = self.progress
         if event.seq > len(progress.chunks):
-            # A gap: give this connection up and resume where it began.
+            # Chunks are missing: close this connection and resume at the gap.
             self._close()
             return
         if event.seq < len(progress.chunks):
@@ -138,12 +140,12 @@
     def _on_end(self, event: model.End) -> None:
         progress = self.progress
         completed = event.outcome == model.Outcome.COMPLETED
-        whole = (
+        is_complete = (
             event.key == progress.key
             and event.count == len(progress.chunks)
             and event.digest == model.content_digest(progress.chunks)
         )
-        if whole or not completed:
+        if is_complete or not completed:
             progress.end = event
         self._finish()
 
@@ -154,7 +156,7 @@
 
 
 class Client:
-    """Send requests to whichever entry hosts the system names."""
+    """Client that sends requests to the entry hosts of a system."""
 
     def __init__(
         self,
@@ -163,22 +165,22 @@
         failure_domain: str = '',
         name: str = 'client',
     ) -> None:
-        """bootstrap is any few entry addresses."""
+        """bootstrap holds some known entry addresses."""
         self.reactor = reactor
         self.bootstrap = list(bootstrap)
         self.failure_domain = failure_domain
         self.name = name
         self.addresses: list[str] = []
         self.expires_at = 0.0
-        self.connections = http.HttpClient(reactor)
+        self.http_client = http.HttpClient(reactor)
 
     def close(self) -> Any:
-        """Close idle connections."""
-        return self.connections.close()
+        """Close idle http_client."""
+        return self.http_client.close()
 
     @defer.inlineCallbacks
     def refresh(self) -> Any:
-        """Ask the system for its addresses, trying all that are known."""
+        """Fetch the entry addresses from any known entry host."""
         known = self.addresses + [
             a for a in self.bootstrap if a not in self.addresses
         ]
@@ -198,12 +200,12 @@
                 self.expires_at = time.monotonic() + record.ttl_s
                 return
         if not self.addresses:
-            tried = ', '.join(known)
-            raise model.RequestError(f'no entry host answers at {tried}')
+            addresses = ', '.join(known)
+            raise model.RequestError(f'no entry host responded at {addresses}')
 
     def _get(self, url: str) -> 'defer.Deferred[iweb.IResponse]':
-        sent = self.connections.request(b'GET', url)
-        sent.addTimeout(SILENCE_S, self.reactor)
+        sent = self.http_client.request(b'GET', url)
+        sent.addTimeout(INACTIVITY_TIMEOUT_S, self.reactor)
         return sent
 
     @defer.inlineCallbacks
@@ -219,13 +221,13 @@
         """Send a request and return its Answer.
 
         The same key is sent again after a failure, which is safe: the
-        system follows the first, or says that it does not know. on_chunk
-        is called with seq and data; seq 0 again means a new answer.
+        system follows the first run or answers that its outcome is unknown.
+        on_chunk gets seq and data; seq 0 again begins a new answer.
         """
         key = key or model.new_request_key()
         started_at = time.monotonic()
-        ends_at = started_at + deadline_s + DEADLINE_MARGIN_S
-        progress = _Progress(key, started_at, ends_at)
+        give_up_at = started_at + deadline_s + DEADLINE_MARGIN_S
+        progress = _Progress(key, started_at, give_up_at)
         body = wire.encode_json(
             wire.RequestRecord(
                 class_of_work,
@@ -235,42 +237,42 @@
                 text,
             )
         )
-        while progress.end is None and progress.tries < MAX_TRIES:
-            if time.monotonic() >= ends_at:
+        while progress.end is None and progress.attempts < MAX_ATTEMPTS:
+            if time.monotonic() >= give_up_at:
                 break
-            if progress.tries:
-                yield self._pause()
-            yield self._try(progress, body, on_chunk)
-            if _is_final(progress.refusal):
+            if progress.attempts:
+                yield self._wait_before_retry()
+            yield self._attempt(progress, body, on_chunk)
+            if _is_final_refusal(progress.refusal):
                 break
-        return _answer(progress)
+        return _to_answer(progress)
 
-    def _pause(self) -> 'defer.Deferred[None]':
-        paused: defer.Deferred[None] = defer.Deferred()
-        self.reactor.callLater(PAUSE_S, paused.callback, None)
-        return paused
+    def _wait_before_retry(self) -> 'defer.Deferred[None]':
+        waited: defer.Deferred[None] = defer.Deferred()
+        self.reactor.callLater(RETRY_DELAY_S, waited.callback, None)
+        return waited
 
     @defer.inlineCallbacks
-    def _try(
+    def _attempt(
         self,
         progress: _Progress,
         body: bytes,
         on_chunk: OnChunk,
     ) -> Any:
-        """Send or resume once; leave the result in progress."""
-        if time.monotonic() >= self.expires_at or progress.tries:
+        """Send or resume once; store the result in progress."""
+        if time.monotonic() >= self.expires_at or progress.attempts:
             yield self.refresh()
-        address = self.addresses[progress.tries % len(self.addresses)]
-        progress.tries += 1
+        address = self.addresses[progress.attempts % len(self.addresses)]
+        progress.attempts += 1
         progress.refusal = None
         try:
-            response = yield self._open(address, progress, body)
+            response = yield self._send_or_resume(address, progress, body)
         except Exception:  # noqa: B902
             self.expires_at = 0.0
             return
         if response.code != 200:
             content = yield client.readBody(response)
-            progress.refusal = _problem(response.code, content)
+            progress.refusal = _parse_problem(response.code, content)
             self.expires_at = 0.0
             if response.code == 404 and progress.host:
                 progress.restart()
@@ -279,12 +281,14 @@
         reader = _StreamReader(self.reactor, progress, on_chunk)
         response.deliverBody(reader)
         yield reader.done
-        lost = progress.end and progress.end.outcome == model.Outcome.UNKNOWN
-        if resumed and lost:
-            # Submitting the key again is safe and tells what can be known.
+        outcome_unknown = (
+            progress.end and progress.end.outcome == model.Outcome.UNKNOWN
+        )
+        if resumed and outcome_unknown:
+            # Submitting the key again is safe and returns a known outcome.
             progress.restart()
 
-    def _open(
+    def _send_or_resume(
         self, address: str, progress: _Progress, body: bytes
     ) -> 'defer.Deferred[iweb.IResponse]':
         if progress.host:
@@ -293,12 +297,12 @@
                 f'?from_seq={len(progress.chunks)}&host={progress.host}'
             )
         url = f'http://{address}/v1/requests'
-        sent = self.connections.request(b'POST', url, body)
-        sent.addTimeout(SILENCE_S, self.reactor)
+        sent = self.http_client.request(b'POST', url, body)
+        sent.addTimeout(INACTIVITY_TIMEOUT_S, self.reactor)
         return sent
 
 
-def _problem(code: int, content: bytes) -> wire.Problem:
+def _parse_problem(code: int, content: bytes) -> wire.Problem:
     try:
         data = json.loads(content)
         return wire.Problem(
@@ -311,14 +315,14 @@
         return wire.Problem('Problem', code, content[:200].decode('latin-1'))
 
 
-def _is_final(refusal: wire.Problem | None) -> bool:
-    """Tell whether another node would refuse just the same."""
+def _is_final_refusal(refusal: wire.Problem | None) -> bool:
+    """Return whether every other node would refuse the request too."""
     if refusal is None:
         return False
     return refusal.status not in (429, 503)
 
 
-def _answer(progress: _Progress) -> Answer:
+def _to_answer(progress: _Progress) -> Answer:
     outcome = model.Outcome.UNKNOWN
     reason = 'no entry host gave an answer in time'
     if progress.end is not None:
@@ -334,5 +338,5 @@
         progress.host,
         progress.first_chunk_s,
         time.monotonic() - progress.started_at,
-        progress.tries,
+        progress.attempts,
     )
--- a/libs/ragwort_http/ragwort_http/__init__.py
+++ b/libs/ragwort_http/ragwort_http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP client connections to IP numbers, pooled or one by one."""
+"""HTTP client for IPv4 addresses, with pooled or new connections."""
 
 from ragwort_http._client import CONNECT_ERRORS
 from ragwort_http._client import HttpClient
--- a/libs/ragwort_http/ragwort_http/_client.py
+++ b/libs/ragwort_http/ragwort_http/_client.py
@@ -29,10 +29,10 @@
 
 @implementer(iweb.IAgentEndpointFactory)
 class _IpEndpointFactory:
-    """Connect straight to an IP number.
+    """Connect directly to an IPv4 address.
 
-    The agent's own endpoint resolves names and tries addresses in turn,
-    which costs 0.3 s before a refused connection is reported.
+    The agent's default endpoint resolves names and tries addresses in
+    turn, which delays the report of a refused connection by 0.3 s.
     """
 
     def __init__(self, reactor: Any) -> None:
@@ -48,20 +48,22 @@
 
 
 class HttpClient:
-    """Agents with and without connections that are used again."""
+    """HTTP client with a pool of persistent connections."""
 
     def __init__(self, reactor: Any) -> None:
         """Create a pool for the reactor."""
         self.pool = client.HTTPConnectionPool(reactor, persistent=True)
         self.pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS
         self.pool.cachedConnectionTimeout = IDLE_TIMEOUT_S
-        # A request that died on its connection is the core's to repeat.
+        # The core decides on retries of a request whose connection failed.
         self.pool.retryAutomatically = False
         factory = _IpEndpointFactory(reactor)
-        self.pooled = client.Agent.usingEndpointFactory(
+        self.pooled_agent = client.Agent.usingEndpointFactory(
             reactor, factory, self.pool
         )
-        self.single = client.Agent.usingEndpointFactory(reactor, factory)
+        self.unpooled_agent = client.Agent.usingEndpointFactory(
+            reactor, factory
+        )
 
     def request(
         self,
@@ -70,8 +72,8 @@
         body: bytes | None = None,
         fresh: bool = False,
     ) -> 'defer.Deferred[iweb.IResponse]':
-        """Send a request; fresh demands a connection of its own."""
-        agent = self.single if fresh else self.pooled
+        """Send a request; fresh requires a new connection."""
+        agent = self.unpooled_agent if fresh else self.pooled_agent
         producer = None
         if body is not None:
             producer = client.FileBodyProducer(io.BytesIO(body))
@@ -90,40 +92,40 @@
 
 
 class LineReader(protocol.Protocol):
-    """Cut a response body into lines."""
+    """Split a response body into lines."""
 
     def __init__(
         self,
         on_line: Callable[[bytes], None],
         on_end: Callable[[], None],
     ) -> None:
-        """Call on_line for each line and on_end once the body is over."""
+        """Call on_line for each line and on_end at the end of the body."""
         self.on_line = on_line
         self.on_end = on_end
-        self.rest = b''
+        self.buffer = b''
         self.stopped = False
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes of the body."""
-        *lines, self.rest = (self.rest + data).split(b'\n')
+        """Split received bytes into lines."""
+        *lines, self.buffer = (self.buffer + data).split(b'\n')
         for line in lines:
             if self.stopped:
                 return
             self.on_line(line)
-        if len(self.rest) > MAX_LINE_BYTES:
+        if len(self.buffer) > MAX_LINE_BYTES:
             self.stop()
             self.on_end()
 
     def connectionLost(  # noqa: N802
         self, reason: failure.Failure = protocol.connectionDone
     ) -> None:
-        """Note the end of the body, whatever its reason."""
+        """Report the end of the body, for whatever reason."""
         if not self.stopped:
             self.stopped = True
             self.on_end()
 
     def stop(self) -> None:
-        """Read no more and close the connection."""
+        """Stop reading and close the connection."""
         self.stopped = True
         if self.transport is not None:
             self.transport.loseConnection()
