--- a/libs/ragwort_node/ragwort_node/_admission.py
+++ b/libs/ragwort_node/ragwort_node/_admission.py
@@ -100,7 +100,7 @@
             f'this node\'s clock is {-offset_s:+.1f} s off its peers\'',
             BUSY_RETRY_S,
         )
-    if control.ledger.is_store_down(now):
+    if control.ledger.is_store_unavailable(now):
         return Refusal(
             _effects.RefusalKind.STORE_DOWN,
             'the platform\'s store does not answer; work that may not be '
--- a/libs/ragwort_state/ragwort_state/_ledger.py
+++ b/libs/ragwort_state/ragwort_state/_ledger.py
@@ -121,7 +121,7 @@
         self.operations = 0
         self.outage_seen_at: float | None = None
 
-    def is_store_down(self, now: float) -> bool:
+    def is_store_unavailable(self, now: float) -> bool:
         """Tell whether the store lately failed to answer."""
         seen = self.outage_seen_at
         return seen is not None and now - seen < OUTAGE_MEMORY_S
