--- a/libs/ragwort_membership/ragwort_membership/__init__.py
+++ b/libs/ragwort_membership/ragwort_membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership of nodes and the directory of entry addresses."""
+"""Failure detection, membership and the directory of entry addresses."""
 
 from ragwort_membership._directory import entry_members
 from ragwort_membership._directory import host_capacity
--- a/libs/ragwort_membership/ragwort_membership/_directory.py
+++ b/libs/ragwort_membership/ragwort_membership/_directory.py
@@ -1,20 +1,20 @@
-"""Which entry addresses callers should use, and which hosts hold roles."""
+"""Choice of entry addresses for callers and of hosts for roles."""
 
 from collections.abc import Sequence
 
 from ragwort_membership import _membership
 import ragwort_model as model
 
-# Link of a host that one core keeps busy: each request crosses it a few
-# times with some 10 KB in about 2 ms of a core.
+# Bandwidth that one busy core uses: a request takes about 2 ms of a core and
+# crosses the host's link a few times with some 10 KB.
 LINK_MBPS_PER_CORE = 100.0
-# Part of the strongest host's capacity that suffices to gather the work of
-# all hosts.
-OWNER_CAPACITY_SHARE = 0.5
+# Minimum capacity of a preferred owner, relative to the strongest host: an
+# owner gathers the work of all hosts.
+MIN_OWNER_CAPACITY_RATIO = 0.5
 
 
 def host_capacity(cores: float, link_mbps: float) -> float:
-    """Return how much work a host can carry, in cores with links to match."""
+    """Return a host's capacity in cores, limited by its link bandwidth."""
     return min(cores, link_mbps / LINK_MBPS_PER_CORE)
 
 
@@ -23,35 +23,35 @@
 ) -> list[model.MemberUpdate]:
     """Return accepting live nodes, the caller's failure domain first.
 
-    Within a failure domain the order follows a hash of the caller, so
-    that callers spread over the nodes.
+    Nodes of equal rank are ordered by a hash of the caller and the node,
+    which spreads callers over the nodes.
     """
     accepting = [m for m in members.live() if m.accepting]
 
-    def rank(update: model.MemberUpdate) -> tuple[bool, int]:
-        elsewhere = update.failure_domain != failure_domain
-        return elsewhere, model.stable_hash(caller, update.name)
+    def sort_key(update: model.MemberUpdate) -> tuple[bool, int]:
+        is_other_domain = update.failure_domain != failure_domain
+        return is_other_domain, model.stable_hash(caller, update.name)
 
-    return sorted(accepting, key=rank)
+    return sorted(accepting, key=sort_key)
 
 
 def weighted_addresses(
-    updates: Sequence[model.MemberUpdate], most: int
+    updates: Sequence[model.MemberUpdate], limit: int
 ) -> list[str]:
-    """Return caller addresses, stronger hosts more often, at most so many.
+    """Return up to limit caller addresses, repeated by host capacity.
 
     Callers pick addresses at random, so that a host listed twice gets
-    twice the callers. Hosts whose part is below one entry fill the rest
-    in the order given.
+    twice the callers. Shares are rounded down; the entries left go to
+    the hosts with the largest remainders, ties in the order given.
     """
     largest = max((update.capacity for update in updates), default=0.0)
     if all(update.capacity == largest for update in updates):
-        return [update.caller_address for update in updates[:most]]
+        return [update.caller_address for update in updates[:limit]]
     total = sum(update.capacity for update in updates)
-    parts = [most * update.capacity / total for update in updates]
-    counts = [int(part) for part in parts]
-    order = sorted(range(len(updates)), key=lambda i: counts[i] - parts[i])
-    for index in order[: most - sum(counts)]:
+    shares = [limit * update.capacity / total for update in updates]
+    counts = [int(share) for share in shares]
+    order = sorted(range(len(updates)), key=lambda i: counts[i] - shares[i])
+    for index in order[: limit - sum(counts)]:
         counts[index] += 1
     return [
         update.caller_address
@@ -65,9 +65,9 @@
 ) -> bool:
     """Tell whether this node holds a role among the live nodes.
 
-    Nodes that take requests go before those that start or leave. Views
-    differ for a while after a change, so a role may be held by more or
-    fewer nodes than count; every role must bear that.
+    Starting and leaving nodes are elected only if no node accepts
+    requests. Views differ for a while after a change, so a role may have
+    more or fewer holders than count; every role must tolerate that.
     """
     return members.self_name in _holders(members, role, count, region)
 
@@ -76,15 +76,15 @@
     members: _membership.Membership, role: str, count: int, region: str | None
 ) -> list[str]:
     members.refresh_caches()
-    known = members.role_cache.get((role, count, region))
-    if known is None:
-        names = _role_names(members, region)
-        known = model.select_by_rendezvous(role, names, count)
-        members.role_cache[role, count, region] = known
-    return known
+    holders = members.role_cache.get((role, count, region))
+    if holders is None:
+        names = _candidates(members, region)
+        holders = model.select_by_rendezvous(role, names, count)
+        members.role_cache[role, count, region] = holders
+    return holders
 
 
-def _role_names(
+def _candidates(
     members: _membership.Membership, region: str | None
 ) -> list[str]:
     live = members.live(region)
@@ -97,8 +97,8 @@
 ) -> list[str | None]:
     """Return the peer addresses of a key's owners, best first.
 
-    Owners are chosen among the strong hosts while there are any, since
-    the work of all hosts meets there. None stands for this node.
+    Strong hosts are preferred, since an owner gathers the work of all
+    hosts. None stands for this node.
     """
     return [
         None
@@ -112,17 +112,19 @@
     members: _membership.Membership, key: str, count: int
 ) -> list[str]:
     members.refresh_caches()
-    known = members.owner_cache.get((key, count))
-    if known is None:
-        names = _role_names(members, None)
+    owners = members.owner_cache.get((key, count))
+    if owners is None:
+        names = _candidates(members, None)
         capacity = {n: members.members[n].update.capacity for n in names}
-        least = OWNER_CAPACITY_SHARE * max(capacity.values(), default=0.0)
-        strong = [name for name in names if capacity[name] >= least]
-        weak = [name for name in names if capacity[name] < least]
-        known = model.select_by_rendezvous(key, strong, count)
-        known += model.select_by_rendezvous(key, weak, count - len(known))
-        members.owner_cache[key, count] = known
-    return known
+        min_capacity = MIN_OWNER_CAPACITY_RATIO * max(
+            capacity.values(), default=0.0
+        )
+        strong = [name for name in names if capacity[name] >= min_capacity]
+        weak = [name for name in names if capacity[name] < min_capacity]
+        owners = model.select_by_rendezvous(key, strong, count)
+        owners += model.select_by_rendezvous(key, weak, count - len(owners))
+        members.owner_cache[key, count] = owners
+    return owners
 
 
 def owner_address(members: _membership.Membership, key: str) -> str | None:
