--- a/libs/ragwort_membership/ragwort_membership/_membership.py
+++ b/libs/ragwort_membership/ragwort_membership/_membership.py
@@ -2,7 +2,7 @@
 
 The protocol is SWIM (Das, Gupta, Motivala, 2002) with the local health
 multiplier of Lifeguard (Dadgar, Phillips, Currey, 2018): a node whose own
-probes fail doubts itself before it doubts its peers.
+probes fail waits longer before it suspects its peers.
 """
 
 from collections.abc import Iterable
@@ -14,34 +14,34 @@
 import ragwort_model as model
 
 PROBE_INTERVAL_S = 1.0
-FRESH_AFTER_S = 0.25
+RECONNECT_AFTER_S = 0.25
 INDIRECT_AFTER_S = 0.5
 PROBE_TIMEOUT_S = 1.0
-INDIRECT_PROBES = 3
-SUSPICION_S = 3.0
+INDIRECT_PROBE_COUNT = 3
+MIN_SUSPICION_S = 3.0
 MAX_HEALTH_PENALTY = 4
-MAX_UPDATES = 8
+MAX_PIGGYBACKED_UPDATES = 8
 RETRANSMIT_FACTOR = 3
-URGENT_PEERS = 8
+ANNOUNCE_FANOUT = 8
 DEAD_PROBE_INTERVAL_S = 5.0
-MIN_SYNC_S = 1.0
-SYNC_S_PER_MEMBER = 0.04
+MIN_SYNC_INTERVAL_S = 1.0
+SYNC_INTERVAL_PER_MEMBER_S = 0.04
 JOIN_INTERVAL_S = 1.0
 REJOIN_INTERVAL_S = 5.0
-FORGET_S = 3600.0
-CLOCK_SAMPLES = 16
+FORGET_AFTER_S = 3600.0
+MAX_CLOCK_SAMPLES = 16
 
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """A node as this node knows it; since is when its status changed."""
+    """Latest record of a node; updated_at is when this node adopted it."""
 
     update: model.MemberUpdate
-    since: float
+    updated_at: float
 
     @property
     def is_alive(self) -> bool:
-        """Tell whether the node is neither suspected nor gone."""
+        """Tell whether the node is neither suspected, dead nor left."""
         return self.update.status == model.MemberStatus.ALIVE
 
 
@@ -50,15 +50,15 @@
     sequence: int
     target: str
     started_at: float
-    fresh_sent: bool = False
+    reconnect_sent: bool = False
     indirect_sent: bool = False
 
 
 @dataclasses.dataclass(slots=True)
-class _Relay:
-    """A probe made for another node, whose address is in origin."""
+class _IndirectProbe:
+    """A probe made for another node, whose address is requester."""
 
-    origin: str
+    requester: str
     sequence: int
     expires_at: float
 
@@ -71,7 +71,7 @@
 
 
 class Membership:
-    """The live nodes as one node sees them."""
+    """One node's view of the nodes and their status."""
 
     def __init__(
         self,
@@ -84,8 +84,8 @@
     ) -> None:
         """Start with only this node, not yet accepting requests.
 
-        Wall time seeds the incarnation. A node that knows no other
-        contacts a seed every join_interval_s.
+        The incarnation starts at the wall time. A node that knows no
+        other live node contacts a seed every join_interval_s.
         """
         self.join_interval_s = join_interval_s
         self.rng = rng
@@ -106,24 +106,24 @@
         self.by_address: dict[str, str] = {host.peer_address: host.name}
         self.pending_updates: dict[str, int] = {}
         self.probe: _Probe | None = None
-        self.relays: dict[int, _Relay] = {}
-        self.order: list[str] = []
+        self.indirect_probes: dict[int, _IndirectProbe] = {}
+        self.probe_order: list[str] = []
         self.sequence = 0
         self.health_penalty = 0
-        self.next_probe = now + rng.uniform(0, PROBE_INTERVAL_S)
-        self.next_dead_probe = now + DEAD_PROBE_INTERVAL_S
-        self.next_sync = now
-        self.next_join = now
+        self.next_probe_at = now + rng.uniform(0, PROBE_INTERVAL_S)
+        self.next_dead_probe_at = now + DEAD_PROBE_INTERVAL_S
+        self.next_sync_at = now
+        self.next_join_at = now
         self.changes: list[MemberChanged] = []
         self.version = 0
         self.cache_version = -1
-        self.view_version = -1
-        self.view_hash = 0
+        self.view_hash_version = -1
+        self.cached_view_hash = 0
         self.live_cache: dict[str | None, list[model.MemberUpdate]] = {}
         self.role_cache: dict[tuple[str, int, str | None], list[str]] = {}
         self.owner_cache: dict[tuple[str, int], list[str]] = {}
-        self.offsets: dict[str, float] = {}
-        self._queue(host.name)
+        self.clock_offsets: dict[str, float] = {}
+        self._queue_update(host.name)
 
     @property
     def own(self) -> model.MemberUpdate:
@@ -145,7 +145,7 @@
         return known
 
     def refresh_caches(self) -> None:
-        """Drop what was derived from an earlier version of the list."""
+        """Clear caches that were computed for an earlier version."""
         if self.cache_version != self.version:
             self.cache_version = self.version
             self.live_cache.clear()
@@ -161,12 +161,12 @@
         ]
 
     def departed_for(self, seconds: float, now: float) -> list[str]:
-        """Return the nodes that are dead or left for so long."""
+        """Return the names of nodes dead or left for this long."""
         return [
             name
             for name, member in sorted(self.members.items())
             if member.update.status >= model.MemberStatus.DEAD
-            and now - member.since >= seconds
+            and now - member.updated_at >= seconds
         ]
 
     def is_alive(self, name: str) -> bool:
@@ -175,10 +175,10 @@
         return member is not None and member.is_alive
 
     def clock_offset(self) -> float:
-        """Return the median of peers' wall clocks minus ours, seconds."""
-        if not self.offsets:
+        """Return the median of peers' wall clocks minus ours, in seconds."""
+        if not self.clock_offsets:
             return 0.0
-        return statistics.median(self.offsets.values())
+        return statistics.median(self.clock_offsets.values())
 
     def set_accepting(self, accepting: bool, now: float) -> None:
         """Announce whether this node takes new requests."""
@@ -191,7 +191,7 @@
         )
 
     def leave(self, now: float, wall: float) -> list[model.SendPeerMessage]:
-        """Announce that this node goes, and return the farewells."""
+        """Mark this node as left and return messages that announce it."""
         self._replace_own(
             now,
             incarnation=self.own.incarnation + 1,
@@ -201,9 +201,9 @@
         return self.announce(wall)
 
     def announce(self, wall: float) -> list[model.SendPeerMessage]:
-        """Return immediate messages that carry this node's new record."""
+        """Return messages that send this node's record to peers at once."""
         peers = self.peer_addresses()
-        targets = self.rng.sample(peers, min(URGENT_PEERS, len(peers)))
+        targets = self.rng.sample(peers, min(ANNOUNCE_FANOUT, len(peers)))
         return [self._ping(address, wall) for address in targets]
 
     def _replace_own(
@@ -220,26 +220,26 @@
             accepting=own.accepting if accepting is None else accepting,
             status=own.status if status is None else status,
         )
-        self._store(update, now)
+        self._set_record(update, now)
 
-    def _store(self, update: model.MemberUpdate, now: float) -> None:
+    def _set_record(self, update: model.MemberUpdate, now: float) -> None:
         self.members[update.name] = Member(update, now)
         self.by_address[update.peer_address] = update.name
         self.version += 1
         self.changes.append(MemberChanged(update))
-        self._queue(update.name)
+        self._queue_update(update.name)
 
-    def _queue(self, name: str) -> None:
+    def _queue_update(self, name: str) -> None:
         size = len(self.members)
         rounds = RETRANSMIT_FACTOR * math.ceil(math.log10(size + 1))
         self.pending_updates[name] = rounds
 
     def _take_updates(self) -> list[model.MemberUpdate]:
-        """Return the least often sent updates, a bounded number."""
+        """Return the least often sent updates and count them as sent."""
         names = sorted(
             self.pending_updates, key=lambda n: (-self.pending_updates[n], n)
         )
-        chosen = names[:MAX_UPDATES]
+        chosen = names[:MAX_PIGGYBACKED_UPDATES]
         for name in chosen:
             self.pending_updates[name] -= 1
             if self.pending_updates[name] <= 0:
@@ -247,35 +247,39 @@
         return [self.members[n].update for n in chosen if n in self.members]
 
     def _ping(
-        self, address: str, wall: float, fresh: bool = False, sequence: int = 0
+        self,
+        address: str,
+        wall: float,
+        reconnect: bool = False,
+        sequence: int = 0,
     ) -> model.SendPeerMessage:
         if not sequence:
             self.sequence += 1
             sequence = self.sequence
         updates = self._take_updates()
-        message = model.Ping(sequence, wall, self.view(), updates)
-        return model.SendPeerMessage(address, message, fresh)
+        message = model.Ping(sequence, wall, self.get_view_hash(), updates)
+        return model.SendPeerMessage(address, message, reconnect)
 
-    def view(self) -> int:
-        """Return a hash over the nodes not known to be gone.
+    def get_view_hash(self) -> int:
+        """Return a hash over the nodes not known as dead or left.
 
-        Piggybacked updates may all be lost, above all when many nodes
-        join at once; unequal hashes show that and lead to an exchange.
+        Piggybacked updates may all be lost, most often when many nodes
+        join at once; unequal hashes reveal that and trigger a full sync.
         """
-        if self.view_version != self.version:
-            self.view_version = self.version
-            self.view_hash = 0
+        if self.view_hash_version != self.version:
+            self.view_hash_version = self.version
+            self.cached_view_hash = 0
             for member in self.members.values():
-                self.view_hash ^= _view_part(member.update)
-        return self.view_hash
+                self.cached_view_hash ^= _record_hash(member.update)
+        return self.cached_view_hash
 
     def tick(self, now: float, wall: float) -> list[model.SendPeerMessage]:
         """Return the messages due now."""
         messages = self._join(now)
         messages += self._advance_probe(now, wall)
-        if self.probe is None and now >= self.next_probe:
+        if self.probe is None and now >= self.next_probe_at:
             messages += self._start_probe(now, wall)
-        if now >= self.next_dead_probe:
+        if now >= self.next_dead_probe_at:
             messages += self._probe_dead(now, wall)
         self._expire(now)
         return messages
@@ -286,13 +290,13 @@
         Nodes that start together may each find another seed first; without
         this their groups would never hear of each other.
         """
-        if now < self.next_join:
+        if now < self.next_join_at:
             return []
         live = {update.peer_address for update in self.live()}
         missing = [seed for seed in self.seeds if seed not in live]
-        alone = len(live) == 1
-        pause_s = self.join_interval_s if alone else REJOIN_INTERVAL_S
-        self.next_join = now + pause_s * self.rng.uniform(0.75, 1.25)
+        is_isolated = len(live) == 1
+        interval_s = self.join_interval_s if is_isolated else REJOIN_INTERVAL_S
+        self.next_join_at = now + interval_s * self.rng.uniform(0.75, 1.25)
         if not missing:
             return []
         message = model.MemberSync(self._records(), True)
@@ -304,22 +308,22 @@
     def _start_probe(
         self, now: float, wall: float
     ) -> list[model.SendPeerMessage]:
-        self.next_probe = now + PROBE_INTERVAL_S
-        target = self._next_target()
+        self.next_probe_at = now + PROBE_INTERVAL_S
+        target = self._next_probe_target()
         if target is None:
             return []
         self.sequence += 1
         self.probe = _Probe(self.sequence, target, now)
         return [self._ping(target, wall, sequence=self.sequence)]
 
-    def _next_target(self) -> str | None:
-        """Return the next address of a shuffled round over all members."""
+    def _next_probe_target(self) -> str | None:
+        """Return the next address in a shuffled round over all members."""
         while True:
-            if not self.order:
-                self.order = self._probe_round()
-                if not self.order:
+            if not self.probe_order:
+                self.probe_order = self._new_probe_order()
+                if not self.probe_order:
                     return None
-            name = self.order.pop()
+            name = self.probe_order.pop()
             member = self.members.get(name)
             if member is not None and self._is_probed(member):
                 return member.update.peer_address
@@ -331,7 +335,7 @@
             and status <= model.MemberStatus.SUSPECT
         )
 
-    def _probe_round(self) -> list[str]:
+    def _new_probe_order(self) -> list[str]:
         names = [
             n for n in sorted(self.members) if self._is_probed(self.members[n])
         ]
@@ -354,16 +358,18 @@
             return []
         if waited >= INDIRECT_AFTER_S and not probe.indirect_sent:
             probe.indirect_sent = True
-            return self._indirect(probe)
-        if waited >= FRESH_AFTER_S and not probe.fresh_sent:
-            # The connection may be at fault, not the node behind it.
-            probe.fresh_sent = True
+            return self._request_indirect_probes(probe)
+        if waited >= RECONNECT_AFTER_S and not probe.reconnect_sent:
+            # The connection may have failed while the node is alive.
+            probe.reconnect_sent = True
             return [self._ping(probe.target, wall, True, probe.sequence)]
         return []
 
-    def _indirect(self, probe: _Probe) -> list[model.SendPeerMessage]:
+    def _request_indirect_probes(
+        self, probe: _Probe
+    ) -> list[model.SendPeerMessage]:
         others = [a for a in self.peer_addresses() if a != probe.target]
-        count = min(INDIRECT_PROBES, len(others))
+        count = min(INDIRECT_PROBE_COUNT, len(others))
         return [
             model.SendPeerMessage(
                 address,
@@ -378,42 +384,42 @@
         member = self.members.get(self.by_address.get(address, ''))
         if member is None or not member.is_alive:
             return
-        self._store(
+        self._set_record(
             dataclasses.replace(
                 member.update, status=model.MemberStatus.SUSPECT
             ),
             now,
         )
 
-    def _suspicion_s(self) -> float:
-        return SUSPICION_S * max(1.0, math.log10(len(self.members)))
+    def _suspicion_timeout_s(self) -> float:
+        return MIN_SUSPICION_S * max(1.0, math.log10(len(self.members)))
 
     def _expire(self, now: float) -> None:
-        """Declare suspects dead in time and forget what is long gone."""
+        """Declare overdue suspects dead and delete what has expired."""
         for name, member in list(self.members.items()):
-            age = now - member.since
+            age = now - member.updated_at
             status = member.update.status
             if status == model.MemberStatus.SUSPECT:
-                if age >= self._suspicion_s():
+                if age >= self._suspicion_timeout_s():
                     dead = dataclasses.replace(
                         member.update, status=model.MemberStatus.DEAD
                     )
-                    self._store(dead, now)
-            elif status >= model.MemberStatus.DEAD and age >= FORGET_S:
+                    self._set_record(dead, now)
+            elif status >= model.MemberStatus.DEAD and age >= FORGET_AFTER_S:
                 del self.members[name]
                 self.version += 1
                 self.pending_updates.pop(name, None)
-                self.offsets.pop(name, None)
-        for sequence, relay in list(self.relays.items()):
-            if now >= relay.expires_at:
-                del self.relays[sequence]
+                self.clock_offsets.pop(name, None)
+        for sequence, indirect in list(self.indirect_probes.items()):
+            if now >= indirect.expires_at:
+                del self.indirect_probes[sequence]
 
     def _probe_dead(
         self, now: float, wall: float
     ) -> list[model.SendPeerMessage]:
-        """Probe one dead node now and then, so that a healed split shows."""
+        """Probe a random dead node, to notice a healed network partition."""
         jitter = self.rng.uniform(0.75, 1.25)
-        self.next_dead_probe = now + DEAD_PROBE_INTERVAL_S * jitter
+        self.next_dead_probe_at = now + DEAD_PROBE_INTERVAL_S * jitter
         dead = [
             member.update
             for _, member in sorted(self.members.items())
@@ -423,14 +429,16 @@
             return []
         update = self.rng.choice(dead)
         self.sequence += 1
-        message = model.Ping(self.sequence, wall, self.view(), [update])
+        message = model.Ping(
+            self.sequence, wall, self.get_view_hash(), [update]
+        )
         return [model.SendPeerMessage(update.peer_address, message, True)]
 
     def on_ping(
         self, sender: str, message: model.Ping, now: float, wall: float
     ) -> list[model.SendPeerMessage]:
         """Answer a probe."""
-        self._note_clock(sender, message.wall, wall)
+        self._record_clock_offset(sender, message.wall, wall)
         self.merge(message.updates, now)
         ack = model.Ack(message.sequence, wall, self._take_updates())
         replies = [model.SendPeerMessage(sender, ack)]
@@ -439,15 +447,17 @@
     def _reconcile(
         self, sender: str, view: int, now: float
     ) -> list[model.SendPeerMessage]:
-        """Exchange full lists, now and then, with a node that sees others.
+        """Exchange full lists with a node whose view differs.
 
-        The pause grows with the list, so that the bytes per second stay
-        bounded while nodes come and go.
+        The interval grows with the list, which bounds the bytes per
+        second while nodes come and go.
         """
-        if view == self.view() or now < self.next_sync:
+        if view == self.get_view_hash() or now < self.next_sync_at:
             return []
-        pause_s = max(MIN_SYNC_S, len(self.members) * SYNC_S_PER_MEMBER)
-        self.next_sync = now + pause_s * self.rng.uniform(0.75, 1.25)
+        interval_s = max(
+            MIN_SYNC_INTERVAL_S, len(self.members) * SYNC_INTERVAL_PER_MEMBER_S
+        )
+        self.next_sync_at = now + interval_s * self.rng.uniform(0.75, 1.25)
         return [
             model.SendPeerMessage(
                 sender, model.MemberSync(self._records(), True)
@@ -457,13 +467,13 @@
     def on_ack(
         self, sender: str, message: model.Ack, now: float, wall: float
     ) -> list[model.SendPeerMessage]:
-        """Take the answer to a probe of ours or one made for a peer."""
-        self._note_clock(sender, message.wall, wall)
+        """Handle the answer to a probe of ours or one made for a peer."""
+        self._record_clock_offset(sender, message.wall, wall)
         self.merge(message.updates, now)
-        relay = self.relays.pop(message.sequence, None)
-        if relay is not None:
-            ack = model.Ack(relay.sequence, wall, self._take_updates())
-            return [model.SendPeerMessage(relay.origin, ack)]
+        indirect = self.indirect_probes.pop(message.sequence, None)
+        if indirect is not None:
+            ack = model.Ack(indirect.sequence, wall, self._take_updates())
+            return [model.SendPeerMessage(indirect.requester, ack)]
         probe = self.probe
         if probe is not None and probe.sequence == message.sequence:
             self.probe = None
@@ -476,7 +486,7 @@
         """Probe a target for a peer that cannot reach it."""
         self.merge(message.updates, now)
         self.sequence += 1
-        self.relays[self.sequence] = _Relay(
+        self.indirect_probes[self.sequence] = _IndirectProbe(
             sender, message.sequence, now + PROBE_TIMEOUT_S
         )
         return [self._ping(message.target, wall, True, self.sequence)]
@@ -484,15 +494,15 @@
     def on_sync(
         self, sender: str, message: model.MemberSync, now: float
     ) -> list[model.SendPeerMessage]:
-        """Merge a full list and answer with ours if asked."""
-        # What came in a full list spreads by full lists; as rumours, the
-        # start of a large fleet would go on for minutes.
-        rumours = dict(self.pending_updates)
+        """Merge a full list, and reply with ours if asked."""
+        # Records from a full list are not piggybacked as well: in a large
+        # fleet that starts at once, sending them all would take minutes.
+        pending = dict(self.pending_updates)
         self.merge(message.members, now)
-        own = self.pending_updates.get(self.self_name)
-        self.pending_updates = rumours
-        if own is not None:
-            self.pending_updates[self.self_name] = own
+        own_rounds = self.pending_updates.get(self.self_name)
+        self.pending_updates = pending
+        if own_rounds is not None:
+            self.pending_updates[self.self_name] = own_rounds
         if not message.reply:
             return []
         return [
@@ -501,28 +511,30 @@
             )
         ]
 
-    def _note_clock(self, sender: str, theirs: float, ours: float) -> None:
+    def _record_clock_offset(
+        self, sender: str, theirs: float, ours: float
+    ) -> None:
         name = self.by_address.get(sender)
         if name is None:
             return
-        self.offsets.pop(name, None)
-        self.offsets[name] = theirs - ours
-        while len(self.offsets) > CLOCK_SAMPLES:
-            del self.offsets[next(iter(self.offsets))]
+        self.clock_offsets.pop(name, None)
+        self.clock_offsets[name] = theirs - ours
+        while len(self.clock_offsets) > MAX_CLOCK_SAMPLES:
+            del self.clock_offsets[next(iter(self.clock_offsets))]
 
     def merge(self, updates: list[model.MemberUpdate], now: float) -> None:
-        """Adopt what is newer, and refute what is said against us."""
+        """Adopt newer records, and refute false ones about this node."""
         for update in updates:
             if update.name == self.self_name:
                 self._refute(update, now)
                 continue
             known = self.members.get(update.name)
-            gone = update.status >= model.MemberStatus.DEAD
-            if known is None and gone:
-                # Nothing is lost by never having known it.
+            is_departed = update.status >= model.MemberStatus.DEAD
+            if known is None and is_departed:
+                # An unknown node that is dead or left needs no record.
                 continue
             if known is None or _is_newer(update, known.update):
-                self._store(update, now)
+                self._set_record(update, now)
 
     def _refute(self, update: model.MemberUpdate, now: float) -> None:
         own = self.own
@@ -543,7 +555,7 @@
     return update.status > known.status
 
 
-def _view_part(update: model.MemberUpdate) -> int:
+def _record_hash(update: model.MemberUpdate) -> int:
     if update.status >= model.MemberStatus.DEAD:
         return 0
     text = f'{update.incarnation}/{update.status}'
