--- a/libs/ragwort_peers/ragwort_peers/__init__.py
+++ b/libs/ragwort_peers/ragwort_peers/__init__.py
@@ -1,4 +1,4 @@
-"""Framed thrift over TCP between the system's own hosts."""
+"""Framed Thrift messages over TCP between hosts."""
 
 from ragwort_peers._monotonic_reactor import monotonic_reactor
 from ragwort_peers._peer_connections import IncomingPeerFactory
--- a/libs/ragwort_peers/ragwort_peers/_monotonic_reactor.py
+++ b/libs/ragwort_peers/ragwort_peers/_monotonic_reactor.py
@@ -1,14 +1,14 @@
-"""The process's reactor on the steady clock."""
+"""The reactor with timers on the monotonic clock."""
 
 import time
 from typing import Any
 
 
 def monotonic_reactor() -> Any:
-    """Return the reactor with its timers on the steady clock.
+    """Return the reactor with its timers on the monotonic clock.
 
-    Twisted goes by the time of day: a step back would hold up all timers
-    for as long, and a step forward would end them at once. To be called
+    Twisted uses the wall clock: a step back would delay all timers by as
+    much, and a step forward would fire them at once. Must be called
     before the first timer is set.
     """
     from twisted.internet import reactor
--- a/libs/ragwort_peers/ragwort_peers/_peer_connections.py
+++ b/libs/ragwort_peers/ragwort_peers/_peer_connections.py
@@ -1,4 +1,4 @@
-"""Framed thrift over TCP between nodes."""
+"""Framed Thrift messages over TCP between hosts."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,87 +11,89 @@
 import ragwort_wire as wire
 
 CONNECT_TIMEOUT_S = 1.0
-IDLE_CLOSE_S = 30.0
+IDLE_TIMEOUT_S = 30.0
 MAX_QUEUED_FRAMES = 256
 MAX_BUFFERED_BYTES = 4 * 1024 * 1024
 
-OnFrame = Callable[[wire.PeerFrame], None]
-OnProblem = Callable[[str], None]
+FrameHandler = Callable[[wire.PeerFrame], None]
+ErrorHandler = Callable[[str], None]
 
 
 class IncomingPeer(basic.Int32StringReceiver):
-    """A link that another node opened."""
+    """Connection opened by another host."""
 
     MAX_LENGTH = wire.MAX_FRAME_BYTES
 
-    def __init__(self, on_frame: OnFrame, on_problem: OnProblem) -> None:
-        """Report frames and problems to the given functions."""
+    def __init__(self, on_frame: FrameHandler, on_error: ErrorHandler) -> None:
+        """Pass frames and errors to the given handlers."""
         self.on_frame = on_frame
-        self.on_problem = on_problem
+        self.on_error = on_error
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        """Decode one frame; a damaged one closes the link."""
+        """Decode one frame; close the connection if it is damaged."""
         try:
             frame = wire.decode_peer(string)
         except model.WireError as error:
-            self.on_problem(str(error))
+            self.on_error(str(error))
             self.transport.loseConnection()
             return
         self.on_frame(frame)
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802
-        """Close a link that announces a frame over the limit."""
-        self.on_problem(f'frame of {length} bytes is too long')
+        """Close a connection that announces a frame over the limit."""
+        self.on_error(
+            f'frame of {length} bytes exceeds the limit of {self.MAX_LENGTH}'
+        )
         self.transport.loseConnection()
 
 
 class IncomingPeerFactory(protocol.Factory):
-    """Accept links from other nodes."""
+    """Accept connections from other hosts."""
 
     noisy = False
 
-    def __init__(self, on_frame: OnFrame, on_problem: OnProblem) -> None:
-        """Report frames and problems to the given functions."""
+    def __init__(self, on_frame: FrameHandler, on_error: ErrorHandler) -> None:
+        """Pass frames and errors to the given handlers."""
         self.on_frame = on_frame
-        self.on_problem = on_problem
+        self.on_error = on_error
 
     def buildProtocol(self, addr: Any) -> IncomingPeer:  # noqa: N802
-        """Return the protocol of a new link."""
-        return IncomingPeer(self.on_frame, self.on_problem)
+        """Return the protocol of a new connection."""
+        return IncomingPeer(self.on_frame, self.on_error)
 
 
-class _Outgoing(basic.Int32StringReceiver):
-    """A link that this node opened; nothing is expected on it."""
+class _OutgoingPeer(basic.Int32StringReceiver):
+    """Connection opened by this host; the peer sends nothing on it."""
 
     MAX_LENGTH = 0
 
-    def __init__(self, link: '_Link') -> None:
-        self.link = link
+    def __init__(self, connection: '_PeerConnection') -> None:
+        self.connection = connection
 
     def connectionMade(self) -> None:  # noqa: N802
-        self.link.on_connected(self)
+        self.connection.on_connected(self)
 
     def connectionLost(  # noqa: N802
         self, reason: failure.Failure = protocol.connectionDone
     ) -> None:
-        self.link.on_lost(self)
+        self.connection.on_disconnected(self)
 
 
-class _Link(protocol.ClientFactory):
-    """The way to one peer, opened when needed and closed when idle."""
+class _PeerConnection(protocol.ClientFactory):
+    """The connection to one peer, opened when needed."""
 
     noisy = False
 
     def __init__(self, reactor: Any, address: str) -> None:
         self.reactor = reactor
         self.address = address
-        self.protocol_now: _Outgoing | None = None
+        self.active_protocol: _OutgoingPeer | None = None
         self.connector: Any = None
         self.queue: list[bytes] = []
-        self.used_at = 0.0
+        self.last_used_at = 0.0
 
-    def buildProtocol(self, addr: Any) -> _Outgoing:  # noqa: N802
-        return _Outgoing(self)
+    def buildProtocol(self, addr: Any) -> _OutgoingPeer:  # noqa: N802
+        return _OutgoingPeer(self)
 
     def clientConnectionFailed(  # noqa: N802
         self, connector: Any, reason: failure.Failure
@@ -100,11 +102,11 @@
             self.connector = None
             self.queue.clear()
 
-    def send(self, data: bytes, fresh: bool) -> None:
-        if fresh:
+    def send(self, data: bytes, reconnect: bool) -> None:
+        if reconnect:
             self.abort()
-        if self.protocol_now is not None:
-            self.protocol_now.sendString(data)
+        if self.active_protocol is not None:
+            self.active_protocol.sendString(data)
             return
         if len(self.queue) < MAX_QUEUED_FRAMES:
             self.queue.append(data)
@@ -114,58 +116,58 @@
                 host, port, self, CONNECT_TIMEOUT_S
             )
 
-    def on_connected(self, opened: _Outgoing) -> None:
-        self.protocol_now = opened
-        opened.transport.setTcpNoDelay(True)
+    def on_connected(self, peer: _OutgoingPeer) -> None:
+        self.active_protocol = peer
+        peer.transport.setTcpNoDelay(True)
         for data in self.queue:
-            opened.sendString(data)
+            peer.sendString(data)
         self.queue.clear()
 
-    def on_lost(self, closed: _Outgoing) -> None:
-        if closed is self.protocol_now:
-            self.protocol_now = None
+    def on_disconnected(self, peer: _OutgoingPeer) -> None:
+        if peer is self.active_protocol:
+            self.active_protocol = None
             self.connector = None
 
     def abort(self) -> None:
-        """Drop the connection, whether it works or not."""
-        if self.protocol_now is not None:
-            self.protocol_now.transport.abortConnection()
+        """Abort the connection or the attempt to open one."""
+        if self.active_protocol is not None:
+            self.active_protocol.transport.abortConnection()
         elif self.connector is not None:
             self.connector.disconnect()
-        self.protocol_now = None
+        self.active_protocol = None
         self.connector = None
 
 
 class PeerConnections:
-    """Carry out SendPeerMessage; messages may be lost, never reordered."""
+    """Send messages to peers; they may be lost but are never reordered."""
 
     def __init__(self, reactor: Any, own_address: str) -> None:
-        """Start without links."""
+        """Start without connections."""
         self.reactor = reactor
         self.own_address = own_address
-        self.links: dict[str, _Link] = {}
+        self.connections: dict[str, _PeerConnection] = {}
         self.bytes_sent = 0
 
     def send(self, effect: model.SendPeerMessage, now: float) -> None:
-        """Send a message, opening a link if there is none."""
+        """Send a message, opening a connection if there is none."""
         data = wire.encode_peer(self.own_address, effect.message)
         self.bytes_sent += len(data) + 4
-        link = self.links.get(effect.address)
-        if link is None:
-            link = _Link(self.reactor, effect.address)
-            self.links[effect.address] = link
-        link.used_at = now
-        link.send(data, effect.fresh)
+        connection = self.connections.get(effect.address)
+        if connection is None:
+            connection = _PeerConnection(self.reactor, effect.address)
+            self.connections[effect.address] = connection
+        connection.last_used_at = now
+        connection.send(data, effect.fresh)
 
     def close_idle(self, now: float) -> None:
-        """Close links that were not used for a while."""
-        for address, link in list(self.links.items()):
-            if now - link.used_at > IDLE_CLOSE_S:
-                link.abort()
-                del self.links[address]
+        """Close connections that were not used for IDLE_TIMEOUT_S."""
+        for address, connection in list(self.connections.items()):
+            if now - connection.last_used_at > IDLE_TIMEOUT_S:
+                connection.abort()
+                del self.connections[address]
 
     def close(self) -> None:
-        """Close all links after what was written has gone out."""
-        for link in self.links.values():
-            if link.protocol_now is not None:
-                link.protocol_now.transport.loseConnection()
+        """Close all connections once written data has been sent."""
+        for connection in self.connections.values():
+            if connection.active_protocol is not None:
+                connection.active_protocol.transport.loseConnection()
