--- a/libs/ragwort_state/ragwort_state/_catalog.py
+++ b/libs/ragwort_state/ragwort_state/_catalog.py
@@ -90,22 +90,24 @@
                 ] = runner
 
     def _remove(self, name: str) -> None:
-        kind, _, rest = name.partition('/')
+        kind, _, document_name = name.partition('/')
         match kind:
             case 'class':
-                self.classes.pop(rest, None)
+                self.classes.pop(document_name, None)
             case 'pipeline':
-                self.pipelines.pop(rest, None)
+                self.pipelines.pop(document_name, None)
             case 'service':
-                self.services.pop(rest, None)
+                self.services.pop(document_name, None)
             case 'placement':
-                self.standby.pop(rest, None)
+                self.standby.pop(document_name, None)
             case 'workspace':
-                self.workspaces.discard(rest)
+                self.workspaces.discard(document_name)
             case 'runner':
-                runner = self.runners.pop(rest, None)
+                runner = self.runners.pop(document_name, None)
                 if runner is not None:
-                    self.runners_by_service[runner.service].pop(rest, None)
+                    self.runners_by_service[runner.service].pop(
+                        document_name, None
+                    )
 
 
 DRAINING_VALUE = json.dumps({'draining': True})
@@ -115,7 +117,7 @@
 def drain_status_object(
     runner: str, draining: bool, state_version: int
 ) -> model.StoredObject:
-    """Return the replicated object for a runner's own word on draining."""
+    """Return the replicated object that holds a runner's drain status."""
     value = DRAINING_VALUE if draining else NOT_DRAINING_VALUE
     return model.StoredObject(
         DRAIN_STATUS_PREFIX + runner, state_version, value
--- a/libs/ragwort_state/ragwort_state/_gossip.py
+++ b/libs/ragwort_state/ragwort_state/_gossip.py
@@ -1,4 +1,4 @@
-"""Dissemination of replica changes: rumours and digest-based repair."""
+"""Dissemination of replica changes by rumours and anti-entropy."""
 
 from collections.abc import Iterable
 import math
@@ -10,19 +10,20 @@
 
 RUMOUR_INTERVAL_S = 0.1
 RUMOUR_FANOUT = 2
-EXTRA_ROUNDS = 3
+EXTRA_RUMOUR_ROUNDS = 3
 DIGEST_INTERVAL_S = 2.0
 MAX_PUSH_BYTES = 64 * 1024
-PER_OBJECT_BYTES = 64
+OBJECT_OVERHEAD_BYTES = 64
 MAX_RUMOURED_OBJECTS = 50
 
 
 class Gossip:
     """Spread adopted objects to other nodes.
 
-    Fresh objects go to a few random peers for a number of rounds that
-    grows with the logarithm of the fleet; whatever rumours miss is found
-    by comparing digests with one random peer at a time.
+    Newly adopted objects are sent as rumours to a few random peers, for
+    a number of rounds that grows with the logarithm of the fleet size.
+    What rumours missed is found by comparing digests with one random
+    peer at a time.
     """
 
     def __init__(
@@ -31,17 +32,17 @@
         """Bind to a replica; the first digest goes out at once."""
         self.replica = replica
         self.rng = rng
-        self.hot: dict[str, int] = {}
-        self.next_rumour = now
-        self.next_digest = now
+        self.rounds_left: dict[str, int] = {}
+        self.next_rumour_at = now
+        self.next_digest_at = now
 
     def add_rumours(
         self, objects: Iterable[model.StoredObject], peer_count: int
     ) -> None:
-        """Make rumours of newly adopted objects."""
-        rounds = math.ceil(math.log2(peer_count + 1)) + EXTRA_ROUNDS
+        """Queue newly adopted objects as rumours."""
+        rounds = math.ceil(math.log2(peer_count + 1)) + EXTRA_RUMOUR_ROUNDS
         for item in objects:
-            self.hot[item.name] = rounds
+            self.rounds_left[item.name] = rounds
 
     def tick(
         self, now: float, peers: list[str]
@@ -50,49 +51,53 @@
         messages: list[model.SendPeerMessage] = []
         if not peers:
             return messages
-        if self.hot and now >= self.next_rumour:
-            self.next_rumour = now + RUMOUR_INTERVAL_S
-            messages += self._rumours(peers)
-        if now >= self.next_digest:
+        if self.rounds_left and now >= self.next_rumour_at:
+            self.next_rumour_at = now + RUMOUR_INTERVAL_S
+            messages += self._send_rumours(peers)
+        if now >= self.next_digest_at:
             jitter = self.rng.uniform(0.75, 1.25)
-            self.next_digest = now + DIGEST_INTERVAL_S * jitter
-            digest = model.StateDigest(self.replica.root(), [])
+            self.next_digest_at = now + DIGEST_INTERVAL_S * jitter
+            digest = model.StateDigest(self.replica.root_hash(), [])
             messages.append(
                 model.SendPeerMessage(self.rng.choice(peers), digest)
             )
         return messages
 
-    def _rumours(self, peers: list[str]) -> list[model.SendPeerMessage]:
-        names = list(self.hot)
-        objects = [self.replica.objects[n] for n in names if self._known(n)]
+    def _send_rumours(self, peers: list[str]) -> list[model.SendPeerMessage]:
+        names = list(self.rounds_left)
+        objects = [
+            self.replica.objects[n] for n in names if self._has_object(n)
+        ]
         for name in names:
-            self.hot[name] -= 1
-            if self.hot[name] <= 0:
-                del self.hot[name]
-        targets = self.rng.sample(peers, min(RUMOUR_FANOUT, len(peers)))
+            self.rounds_left[name] -= 1
+            if self.rounds_left[name] <= 0:
+                del self.rounds_left[name]
+        receivers = self.rng.sample(peers, min(RUMOUR_FANOUT, len(peers)))
         return [
-            model.SendPeerMessage(target, push)
-            for target in targets
-            for push in _pushes(objects, synced=False)
+            model.SendPeerMessage(receiver, push)
+            for receiver in receivers
+            for push in _split_pushes(objects, synced=False)
         ]
 
-    def _known(self, name: str) -> bool:
+    def _has_object(self, name: str) -> bool:
         return name in self.replica.objects
 
     def on_digest(
         self, sender: str, digest: model.StateDigest
     ) -> list[model.SendPeerMessage]:
-        """Answer a digest: bucket hashes first, then their versions."""
+        """Answer a digest with bucket hashes, or versions if it has hashes."""
         replica = self.replica
-        if digest.root == replica.root():
+        if digest.root == replica.root_hash():
             if replica.synced:
                 return [
                     model.SendPeerMessage(sender, model.StatePush([], True))
                 ]
             return []
         if not digest.buckets:
-            mine = model.StateDigest(replica.root(), list(replica.hashes))
-            return [model.SendPeerMessage(sender, mine)]
+            answer = model.StateDigest(
+                replica.root_hash(), list(replica.bucket_hashes)
+            )
+            return [model.SendPeerMessage(sender, answer)]
         buckets = replica.differing_buckets(digest.buckets)
         versions = model.StateVersions(buckets, replica.versions(buckets))
         return [model.SendPeerMessage(sender, versions)]
@@ -100,31 +105,35 @@
     def on_versions(
         self, sender: str, message: model.StateVersions
     ) -> list[model.SendPeerMessage]:
-        """Push what the sender lacks and ask for what it has newer."""
-        theirs = {item.name: item.version for item in message.versions}
+        """Push objects that the sender lacks and request newer ones."""
+        remote_versions = {
+            item.name: item.version for item in message.versions
+        }
         buckets = [
             b for b in message.buckets if 0 <= b < _replica.BUCKET_COUNT
         ]
-        mine = self.replica.versions(buckets)
+        own_versions = self.replica.versions(buckets)
         newer = [
             self.replica.objects[item.name]
-            for item in mine
-            if theirs.get(item.name, -1) < item.version
+            for item in own_versions
+            if remote_versions.get(item.name, -1) < item.version
+        ]
+        wanted_names = [
+            name for name, v in remote_versions.items() if self._lacks(name, v)
         ]
-        want = [name for name, v in theirs.items() if self._lacks(name, v)]
         replies = [
             model.SendPeerMessage(sender, push)
-            for push in _pushes(newer, synced=self.replica.synced)
+            for push in _split_pushes(newer, synced=self.replica.synced)
         ]
-        if want:
+        if wanted_names:
             replies.append(
-                model.SendPeerMessage(sender, model.StateWant(want))
+                model.SendPeerMessage(sender, model.StateWant(wanted_names))
             )
         return replies
 
     def _lacks(self, name: str, version: int) -> bool:
-        known = self.replica.objects.get(name)
-        return known is None or known.version < version
+        current = self.replica.objects.get(name)
+        return current is None or current.version < version
 
     def on_want(
         self, sender: str, message: model.StateWant
@@ -133,9 +142,9 @@
         objects = [
             self.replica.objects[name]
             for name in message.names
-            if self._known(name)
+            if self._has_object(name)
         ]
-        pushes = _pushes(objects, synced=self.replica.synced)
+        pushes = _split_pushes(objects, synced=self.replica.synced)
         return [model.SendPeerMessage(sender, push) for push in pushes]
 
     def on_push(
@@ -145,21 +154,21 @@
         adopted = self.replica.merge(message.objects, now)
         if message.synced:
             self.replica.synced = True
-        # A large transfer is repair, not news: rumouring it would flood.
+        # A large transfer is a repair; as rumours it would flood the network.
         if len(adopted) <= MAX_RUMOURED_OBJECTS:
             self.add_rumours(adopted, peer_count)
         return adopted
 
 
-def _pushes(
+def _split_pushes(
     objects: list[model.StoredObject], synced: bool
 ) -> list[model.StatePush]:
-    """Cut objects into messages of bounded size; the last one is synced."""
+    """Split objects into bounded messages; synced is for the last one."""
     pushes: list[model.StatePush] = []
     batch: list[model.StoredObject] = []
     size = 0
     for item in objects:
-        size += len(item.value or '') + len(item.name) + PER_OBJECT_BYTES
+        size += len(item.value or '') + len(item.name) + OBJECT_OVERHEAD_BYTES
         if batch and size > MAX_PUSH_BYTES:
             pushes.append(model.StatePush(batch, False))
             batch, size = [], 0
--- a/libs/ragwort_state/ragwort_state/_replica.py
+++ b/libs/ragwort_state/ragwort_state/_replica.py
@@ -1,4 +1,4 @@
-"""Replica of versioned objects in which no version ever falls."""
+"""Replica of versioned objects whose versions never decrease."""
 
 from collections.abc import Iterable
 from typing import Generic
@@ -22,7 +22,7 @@
 
 
 class ObjectCatalog(Protocol):
-    """A typed view that follows the objects of a replica."""
+    """A typed view of the objects of a replica."""
 
     def apply(self, item: model.StoredObject) -> None:
         """Put a newer version of an object in force if it is valid."""
@@ -39,8 +39,10 @@
         self.objects: dict[str, model.StoredObject] = {}
         self.catalog = catalog
         self.adopted_at: dict[str, float] = {}
-        self.hashes = [0] * BUCKET_COUNT
-        self.names: list[set[str]] = [set() for _ in range(BUCKET_COUNT)]
+        self.bucket_hashes = [0] * BUCKET_COUNT
+        self.bucket_names: list[set[str]] = [
+            set() for _ in range(BUCKET_COUNT)
+        ]
         self.synced = False
 
     def merge(
@@ -50,14 +52,16 @@
         return [item for item in objects if self._adopt(item, now)]
 
     def _adopt(self, item: model.StoredObject, now: float) -> bool:
-        known = self.objects.get(item.name)
-        if known is not None and known.version >= item.version:
+        current = self.objects.get(item.name)
+        if current is not None and current.version >= item.version:
             return False
         bucket = _bucket_of(item.name)
-        if known is not None:
-            self.hashes[bucket] ^= _object_hash(known.name, known.version)
-        self.hashes[bucket] ^= _object_hash(item.name, item.version)
-        self.names[bucket].add(item.name)
+        if current is not None:
+            self.bucket_hashes[bucket] ^= _object_hash(
+                current.name, current.version
+            )
+        self.bucket_hashes[bucket] ^= _object_hash(item.name, item.version)
+        self.bucket_names[bucket].add(item.name)
         self.objects[item.name] = item
         self.adopted_at[item.name] = now
         self.catalog.apply(item)
@@ -70,7 +74,7 @@
         now: float,
         prefix: str = _catalog.CONFIG_PREFIX,
     ) -> list[model.StoredObject]:
-        """Adopt the full list below prefix read at revision.
+        """Adopt the full list of objects below prefix, read at revision.
 
         An object missing from the list was deleted at or before revision
         unless its version is higher.
@@ -88,37 +92,37 @@
         return self.merge(listed + deleted, now)
 
     def drop_old_tombstones(self, now: float) -> None:
-        """Forget deletions that every node has long seen."""
+        """Delete tombstones old enough for every node to have seen them."""
         for item in list(self.objects.values()):
             age = now - self.adopted_at[item.name]
             if item.value is None and age > TOMBSTONE_RETENTION_S:
-                self._forget(item)
+                self._delete(item)
 
-    def _forget(self, item: model.StoredObject) -> None:
+    def _delete(self, item: model.StoredObject) -> None:
         bucket = _bucket_of(item.name)
-        self.hashes[bucket] ^= _object_hash(item.name, item.version)
-        self.names[bucket].discard(item.name)
+        self.bucket_hashes[bucket] ^= _object_hash(item.name, item.version)
+        self.bucket_names[bucket].discard(item.name)
         del self.objects[item.name]
         del self.adopted_at[item.name]
 
-    def root(self) -> int:
+    def root_hash(self) -> int:
         """Return a hash over all names and versions."""
-        return model.stable_hash(*map(str, self.hashes)) & _HASH_MASK
+        return model.stable_hash(*map(str, self.bucket_hashes)) & _HASH_MASK
 
     def versions(self, buckets: Iterable[int]) -> list[model.ObjectVersion]:
         """Return names and versions of the objects in the buckets."""
         return [
             model.ObjectVersion(name, self.objects[name].version)
             for bucket in buckets
-            for name in sorted(self.names[bucket])
+            for name in sorted(self.bucket_names[bucket])
         ]
 
     def differing_buckets(self, hashes: list[int]) -> list[int]:
-        """Return the buckets whose hash is not the given one."""
+        """Return the buckets whose hash differs from the given one."""
         return [
             index
-            for index, (mine, other) in enumerate(
-                zip(self.hashes, hashes, strict=False)
+            for index, (own, other) in enumerate(
+                zip(self.bucket_hashes, hashes, strict=False)
             )
-            if mine != other
+            if own != other
         ]
