--- a/libs/ragwort_state/ragwort_state/_lease.py
+++ b/libs/ragwort_state/ragwort_state/_lease.py
@@ -1,4 +1,4 @@
-"""Leases with fencing numbers on the store's versions."""
+"""Leases whose fencing numbers are versions of the store."""
 
 import dataclasses
 import enum
@@ -18,7 +18,7 @@
 
 
 class LeasePhase(enum.StrEnum):
-    """What a node knows of its hold on a lease."""
+    """Whether a node holds a lease, as far as it knows."""
 
     FOLLOWING = 'following'
     HOLDING = 'holding'
@@ -35,9 +35,9 @@
     """One lease as seen by one node.
 
     The fencing number is the store's version at acquisition. A holder
-    counts its validity from before the write was sent; others count
-    expiry from when they last saw the version change. Both use their own
-    monotonic clock, so clock steps do not matter.
+    counts its validity from before the write was sent; other nodes count
+    expiry from the last change of version that they saw. Each uses its
+    own monotonic clock, so steps of the wall clock do not matter.
     """
 
     name: str
@@ -46,33 +46,33 @@
     phase: LeasePhase = LeasePhase.FOLLOWING
     fencing: int = 0
     valid_until: float = 0.0
-    order_from: float = 0.0
+    orders_allowed_at: float = 0.0
     holder: str = ''
     seen_version: int = -1
     seen_at: float = 0.0
     pending_op: str | None = None
-    next_at: float = 0.0
+    next_call_at: float = 0.0
     nonce: str = ''
     sent_at: float = 0.0
-    operations: int = 0
+    op_count: int = 0
 
     def may_order(self, now: float, checks_fencing: bool) -> bool:
-        """Tell whether an order may be sent at this moment.
+        """Tell whether an order may be sent now.
 
-        Runners that ignore fencing numbers get no order before every
-        order of an earlier holder has expired.
+        Runners that do not check fencing numbers get no order until all
+        orders of an earlier holder have expired.
         """
         if self.phase != LeasePhase.HOLDING:
             return False
         if now + SAFETY_MARGIN_S >= self.valid_until:
             return False
-        return checks_fencing or now >= self.order_from
+        return checks_fencing or now >= self.orders_allowed_at
 
     def tick(self, now: float, wanted: bool) -> list[model.StoreCall]:
         """Return the read or write due now."""
         if self.phase == LeasePhase.HOLDING and now >= self.valid_until:
             self._lose()
-        if self.pending_op is not None or now < self.next_at:
+        if self.pending_op is not None or now < self.next_call_at:
             return []
         if self.phase == LeasePhase.FOLLOWING and not wanted:
             return []
@@ -84,14 +84,14 @@
             return [self._read()]
         return [self._write(now, 0)]
 
-    def _op(self, verb: str) -> str:
-        self.operations += 1
-        self.pending_op = f'{LEASE_OP}{self.name}#{verb}{self.operations}'
+    def _new_op(self, kind: str) -> str:
+        self.op_count += 1
+        self.pending_op = f'{LEASE_OP}{self.name}#{kind}{self.op_count}'
         return self.pending_op
 
     def _read(self) -> model.StoreCall:
         return model.StoreCall(
-            self._op('r'), model.StoreVerb.GET, LEASE_PREFIX + self.name
+            self._new_op('r'), model.StoreVerb.GET, LEASE_PREFIX + self.name
         )
 
     def _write(self, now: float, fencing: int) -> model.StoreCall:
@@ -99,7 +99,7 @@
         self.sent_at = now
         record = _LeaseRecord(self.host, self.nonce, fencing)
         return model.StoreCall(
-            self._op('w'),
+            self._new_op('w'),
             model.StoreVerb.PUT,
             LEASE_PREFIX + self.name,
             msgspec.json.encode(record).decode(),
@@ -107,29 +107,29 @@
         )
 
     def on_store_result(self, result: model.StoreResult, now: float) -> None:
-        """Take the end of a read or write."""
+        """Handle the result of a read or write."""
         if result.op != self.pending_op:
             return
-        writing = result.op.partition('#')[2].startswith('w')
+        is_write = result.op.partition('#')[2].startswith('w')
         self.pending_op = None
-        self.next_at = now + RETRY_S
-        if writing and result.status == model.StoreStatus.OK:
+        self.next_call_at = now + RETRY_S
+        if is_write and result.status == model.StoreStatus.OK:
             fencing = self.fencing or result.revision
             self._hold(fencing, result.revision, now)
         elif result.status == model.StoreStatus.NOT_FOUND:
-            self._see(0, '', now)
+            self._observe(0, '', now)
             self.seen_at = now - LEASE_DURATION_S
         elif result.status == model.StoreStatus.OK and result.objects:
-            self._read_record(result.objects[0], now)
+            self._apply_record(result.objects[0], now)
         elif result.status == model.StoreStatus.CONFLICT:
-            # Another holder, or a write of ours whose answer was lost.
+            # Written by another holder, or by us with the answer lost.
             self.seen_version = -1
-            self.next_at = now
-        elif writing:
-            # Whether the write took effect shows when it is read back.
+            self.next_call_at = now
+        elif is_write:
+            # Reading it back shows whether the write took effect.
             self.seen_version = -1
 
-    def _read_record(self, stored: model.StoredObject, now: float) -> None:
+    def _apply_record(self, stored: model.StoredObject, now: float) -> None:
         try:
             record = msgspec.json.decode(stored.value or '', type=_LeaseRecord)
         except (msgspec.MsgspecError, ValueError):
@@ -137,21 +137,21 @@
         if record.nonce and record.nonce == self.nonce:
             self._hold(record.fencing or stored.version, stored.version, now)
         else:
-            self._see(stored.version, record.holder, now)
+            self._observe(stored.version, record.holder, now)
 
     def _hold(self, fencing: int, version: int, now: float) -> None:
-        """Hold from a write that certainly took effect."""
+        """Hold the lease by a write that is known to have taken effect."""
         if self.phase != LeasePhase.HOLDING:
             self.phase = LeasePhase.HOLDING
-            self.order_from = now + LEASE_DURATION_S + ORDER_EXPIRY_S
+            self.orders_allowed_at = now + LEASE_DURATION_S + ORDER_EXPIRY_S
         self.fencing = fencing
         self.holder = self.host
         self.seen_version = version
         self.seen_at = now
         self.valid_until = self.sent_at + LEASE_DURATION_S
-        self.next_at = now + RENEW_AFTER_S
+        self.next_call_at = now + RENEW_AFTER_S
 
-    def _see(self, version: int, holder: str, now: float) -> None:
+    def _observe(self, version: int, holder: str, now: float) -> None:
         if version != self.seen_version:
             if self.phase == LeasePhase.HOLDING:
                 self._lose()
