--- a/libs/ragwort_state/ragwort_state/_ledger.py
+++ b/libs/ragwort_state/ragwort_state/_ledger.py
@@ -1,9 +1,9 @@
-"""Claim ledger: at-most-once dispatch on conditional updates alone.
+"""Claim ledger: at-most-once dispatch by conditional updates alone.
 
 A claim is written by conditional update before the request's first
 dispatch, and the dispatch follows only after the claimant's own nonce was
-seen in the stored object. Claims are grouped per shard by its owner; two
-owners at once are safe, since only the store decides.
+seen in the stored object. The owner of a shard commits its claims in
+groups; two owners at once are safe, since only the store decides.
 """
 
 import dataclasses
@@ -24,7 +24,7 @@
 MAX_BACKOFF_S = 1.0
 OUTAGE_MEMORY_S = 1.0
 JANITOR_WINDOW_BUCKETS = 40
-IDLE_BUCKET_S = 60.0
+BUCKET_IDLE_TIMEOUT_S = 60.0
 
 
 class _ClaimRecord(msgspec.Struct, array_like=True):
@@ -43,9 +43,9 @@
     return model.stable_hash('claim', workspace, key) % SHARD_COUNT
 
 
-def bucket_name(shard: int, stamp: float) -> str:
+def bucket_name(shard: int, wall: float) -> str:
     """Return the object name of a shard's bucket for a wall time."""
-    return f'{CLAIMS_PREFIX}{shard:02d}/{int(stamp) // BUCKET_SPAN_S}'
+    return f'{CLAIMS_PREFIX}{shard:02d}/{int(wall) // BUCKET_SPAN_S}'
 
 
 def encode_claims(claims: dict[str, model.Claim]) -> str:
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimResolved:
-    """Result of a claim that this node asked for."""
+    """Outcome of a claim that this node started."""
 
     claim: model.Claim
     status: model.ClaimStatus
@@ -79,8 +79,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Waiter:
-    """A claim waiting for its commit; reply_to is a peer or None."""
+class _PendingClaim:
+    """A claim to commit; reply_to is a peer's address, None for this node."""
 
     claim: model.Claim
     expires_at: float
@@ -88,22 +88,26 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Bucket:
+class _ClaimBucket:
     name: str
     version: int | None = None
     claims: dict[str, model.Claim] = dataclasses.field(default_factory=dict)
-    waiting: list[_Waiter] = dataclasses.field(default_factory=list)
+    pending_claims: list[_PendingClaim] = dataclasses.field(
+        default_factory=list
+    )
     pending_op: str | None = None
-    sent: dict[str, model.Claim] = dataclasses.field(default_factory=dict)
-    not_before: float = 0.0
+    sent_claims: dict[str, model.Claim] = dataclasses.field(
+        default_factory=dict
+    )
+    next_call_at: float = 0.0
     backoff_s: float = MIN_BACKOFF_S
-    used_at: float = 0.0
+    last_used_at: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Forward:
+class _ForwardedClaim:
     claim: model.Claim
-    direct_at: float
+    fallback_at: float
     expires_at: float
 
 
@@ -116,15 +120,15 @@
     def __init__(self, rng: random.Random) -> None:
         """Start with nothing cached."""
         self.rng = rng
-        self.buckets: dict[str, _Bucket] = {}
-        self.forwards: dict[tuple[str, str], _Forward] = {}
-        self.operations = 0
-        self.outage_seen_at: float | None = None
+        self.buckets: dict[str, _ClaimBucket] = {}
+        self.forwarded_claims: dict[tuple[str, str], _ForwardedClaim] = {}
+        self.op_count = 0
+        self.unavailable_at: float | None = None
 
     def is_store_unavailable(self, now: float) -> bool:
-        """Tell whether the store lately failed to answer."""
-        seen = self.outage_seen_at
-        return seen is not None and now - seen < OUTAGE_MEMORY_S
+        """Tell whether the store failed to answer recently."""
+        failed_at = self.unavailable_at
+        return failed_at is not None and now - failed_at < OUTAGE_MEMORY_S
 
     def claim(
         self,
@@ -133,10 +137,10 @@
         now: float,
         expires_at: float,
     ) -> list[LedgerEffect]:
-        """Begin a claim of this node; owner_address None means self."""
+        """Start a claim of this node; owner_address None means this node."""
         if owner_address is None:
-            return self._enqueue(_Waiter(claim, expires_at, None), now)
-        self.forwards[claim.key, claim.nonce] = _Forward(
+            return self._enqueue(_PendingClaim(claim, expires_at, None), now)
+        self.forwarded_claims[claim.key, claim.nonce] = _ForwardedClaim(
             claim, now + FORWARD_TIMEOUT_S, expires_at
         )
         return [
@@ -152,165 +156,175 @@
         except model.InvalidInputError:
             return []
         expires_at = now + 4 * FORWARD_TIMEOUT_S
-        waiter = _Waiter(message.claim, expires_at, sender)
-        return self._enqueue(waiter, now)
+        pending = _PendingClaim(message.claim, expires_at, sender)
+        return self._enqueue(pending, now)
 
     def on_reply(self, message: model.ClaimReply) -> list[LedgerEffect]:
-        """Take an owner's answer to a forwarded claim."""
+        """Handle an owner's answer to a forwarded claim."""
         if message.status == model.ClaimStatus.UNRESOLVED:
             return []
-        forward = self.forwards.pop((message.key, message.nonce), None)
+        forward = self.forwarded_claims.pop((message.key, message.nonce), None)
         if forward is None:
             return []
         return [ClaimResolved(forward.claim, message.status, message.standing)]
 
     def tick(self, now: float) -> list[LedgerEffect]:
-        """Expire claims, take over from silent owners, commit groups."""
+        """Expire claims, take back those of silent owners, commit groups."""
         effects: list[LedgerEffect] = []
-        for ident, forward in list(self.forwards.items()):
-            if now >= forward.direct_at:
-                del self.forwards[ident]
-                waiter = _Waiter(forward.claim, forward.expires_at, None)
-                effects += self._enqueue(waiter, now)
+        for claim_id, forward in list(self.forwarded_claims.items()):
+            if now >= forward.fallback_at:
+                del self.forwarded_claims[claim_id]
+                pending = _PendingClaim(
+                    forward.claim, forward.expires_at, None
+                )
+                effects += self._enqueue(pending, now)
         for bucket in list(self.buckets.values()):
-            effects += self._step(bucket, now)
-            idle = now - bucket.used_at > IDLE_BUCKET_S
-            if idle and not bucket.waiting and bucket.pending_op is None:
+            effects += self._advance(bucket, now)
+            idle = now - bucket.last_used_at > BUCKET_IDLE_TIMEOUT_S
+            if (
+                idle
+                and not bucket.pending_claims
+                and bucket.pending_op is None
+            ):
                 del self.buckets[bucket.name]
         return effects
 
-    def _enqueue(self, waiter: _Waiter, now: float) -> list[LedgerEffect]:
-        claim = waiter.claim
+    def _enqueue(
+        self, pending: _PendingClaim, now: float
+    ) -> list[LedgerEffect]:
+        claim = pending.claim
         shard = shard_of(claim.workspace, claim.key)
         name = bucket_name(shard, model.request_key_time(claim.key))
-        bucket = self.buckets.setdefault(name, _Bucket(name))
-        bucket.waiting.append(waiter)
-        bucket.used_at = now
-        return self._step(bucket, now)
+        bucket = self.buckets.setdefault(name, _ClaimBucket(name))
+        bucket.pending_claims.append(pending)
+        bucket.last_used_at = now
+        return self._advance(bucket, now)
 
-    def _step(self, bucket: _Bucket, now: float) -> list[LedgerEffect]:
-        """Settle what is known, then send the next read or write."""
+    def _advance(self, bucket: _ClaimBucket, now: float) -> list[LedgerEffect]:
+        """Resolve claims that are decided, then add the next store call."""
         effects = self._resolve(bucket, now)
-        if not bucket.waiting or bucket.pending_op is not None:
+        if not bucket.pending_claims or bucket.pending_op is not None:
             return effects
-        if now < bucket.not_before:
+        if now < bucket.next_call_at:
             return effects
-        self.operations += 1
-        bucket.pending_op = f'{LEDGER_OP}{bucket.name}#{self.operations}'
+        self.op_count += 1
+        bucket.pending_op = f'{LEDGER_OP}{bucket.name}#{self.op_count}'
         effects.append(self._next_call(bucket))
         return effects
 
-    def _next_call(self, bucket: _Bucket) -> model.StoreCall:
+    def _next_call(self, bucket: _ClaimBucket) -> model.StoreCall:
         assert bucket.pending_op is not None
         if bucket.version is None:
             return model.StoreCall(
                 bucket.pending_op, model.StoreVerb.GET, bucket.name
             )
-        bucket.sent = dict(bucket.claims)
-        for waiter in bucket.waiting:
-            bucket.sent.setdefault(waiter.claim.key, waiter.claim)
+        bucket.sent_claims = dict(bucket.claims)
+        for pending in bucket.pending_claims:
+            bucket.sent_claims.setdefault(pending.claim.key, pending.claim)
         return model.StoreCall(
             bucket.pending_op,
             model.StoreVerb.PUT,
             bucket.name,
-            encode_claims(bucket.sent),
+            encode_claims(bucket.sent_claims),
             bucket.version,
         )
 
-    def _resolve(self, bucket: _Bucket, now: float) -> list[LedgerEffect]:
+    def _resolve(self, bucket: _ClaimBucket, now: float) -> list[LedgerEffect]:
         effects: list[LedgerEffect] = []
-        waiting: list[_Waiter] = []
-        for waiter in bucket.waiting:
-            standing = bucket.claims.get(waiter.claim.key)
+        still_pending: list[_PendingClaim] = []
+        for pending in bucket.pending_claims:
+            standing = bucket.claims.get(pending.claim.key)
             if standing is not None:
-                granted = standing.nonce == waiter.claim.nonce
+                granted = standing.nonce == pending.claim.nonce
                 status = (
                     model.ClaimStatus.GRANTED
                     if granted
                     else model.ClaimStatus.TAKEN
                 )
-                effects.append(_resolution(waiter, status, standing))
-            elif now >= waiter.expires_at:
+                effects.append(_resolution(pending, status, standing))
+            elif now >= pending.expires_at:
                 status = model.ClaimStatus.UNRESOLVED
-                effects.append(_resolution(waiter, status, None))
+                effects.append(_resolution(pending, status, None))
             else:
-                waiting.append(waiter)
-        bucket.waiting = waiting
+                still_pending.append(pending)
+        bucket.pending_claims = still_pending
         return effects
 
     def on_store_result(
         self, result: model.StoreResult, now: float
     ) -> list[LedgerEffect]:
-        """Take the end of a store call of this ledger."""
+        """Handle the result of a store call of this ledger."""
         name = result.op.removeprefix(LEDGER_OP).partition('#')[0]
         bucket = self.buckets.get(name)
         if bucket is None or bucket.pending_op != result.op:
             return []
-        writing = bucket.version is not None
+        is_write = bucket.version is not None
         bucket.pending_op = None
-        self._learn(bucket, result, writing, now)
-        return self._step(bucket, now)
+        self._apply_result(bucket, result, is_write, now)
+        return self._advance(bucket, now)
 
-    def _learn(
+    def _apply_result(
         self,
-        bucket: _Bucket,
+        bucket: _ClaimBucket,
         result: model.StoreResult,
-        writing: bool,
+        is_write: bool,
         now: float,
     ) -> None:
         status = result.status
         if status == model.StoreStatus.UNAVAILABLE:
-            self.outage_seen_at = now
+            self.unavailable_at = now
         elif status != model.StoreStatus.RATE_LIMITED:
-            self.outage_seen_at = None
+            self.unavailable_at = None
             bucket.backoff_s = MIN_BACKOFF_S
-        if status == model.StoreStatus.OK and writing:
+        if status == model.StoreStatus.OK and is_write:
             bucket.version = result.revision
-            bucket.claims = bucket.sent
-            bucket.not_before = now + COMMIT_INTERVAL_S
+            bucket.claims = bucket.sent_claims
+            bucket.next_call_at = now + COMMIT_INTERVAL_S
         elif status == model.StoreStatus.OK and result.objects:
             stored = result.objects[0]
             bucket.claims = decode_claims(stored.value or '[]')
             bucket.version = stored.version
-        elif status == model.StoreStatus.NOT_FOUND and not writing:
+        elif status == model.StoreStatus.NOT_FOUND and not is_write:
             bucket.claims = {}
             bucket.version = 0
         else:
-            # The stored content is in doubt until it is read again.
+            # The stored content is unknown until it is read again.
             bucket.version = None
             if status != model.StoreStatus.CONFLICT:
-                wait = bucket.backoff_s * self.rng.uniform(0.5, 1.0)
-                bucket.not_before = now + wait
+                delay_s = bucket.backoff_s * self.rng.uniform(0.5, 1.0)
+                bucket.next_call_at = now + delay_s
                 bucket.backoff_s = min(2 * bucket.backoff_s, MAX_BACKOFF_S)
 
 
 def _resolution(
-    waiter: _Waiter, status: model.ClaimStatus, standing: model.Claim | None
+    pending: _PendingClaim,
+    status: model.ClaimStatus,
+    standing: model.Claim | None,
 ) -> LedgerEffect:
-    claim = waiter.claim
-    if waiter.reply_to is None:
+    claim = pending.claim
+    if pending.reply_to is None:
         return ClaimResolved(claim, status, standing)
     reply = model.ClaimReply(claim.key, claim.nonce, status, standing)
-    return model.SendPeerMessage(waiter.reply_to, reply)
+    return model.SendPeerMessage(pending.reply_to, reply)
 
 
 class Janitor:
-    """Delete claim buckets that no key inside retention can name.
+    """Delete claim buckets that are too old for any retained key.
 
-    Whether a bucket exists is read first: reads are far cheaper to the
-    store than writes, and most buckets never come to be.
+    Each bucket is read before it is deleted: reads cost the store far
+    less than writes, and most buckets never exist.
     """
 
     def __init__(self, retention_s: float, skew_s: float) -> None:
         """Keep buckets for the retention and twice the clock skew."""
-        self.keep_s = retention_s + 2 * skew_s + BUCKET_SPAN_S
+        self.bucket_retention_s = retention_s + 2 * skew_s + BUCKET_SPAN_S
         self.next_bucket: int | None = None
         self.next_shard = 0
-        self.operations = 0
+        self.op_count = 0
 
     def tick(self, wall: float) -> list[model.StoreCall]:
         """Return the next read for the elected janitor to make."""
-        last = int(wall - self.keep_s) // BUCKET_SPAN_S - 1
+        last = int(wall - self.bucket_retention_s) // BUCKET_SPAN_S - 1
         if self.next_bucket is None:
             self.next_bucket = last - JANITOR_WINDOW_BUCKETS
         if self.next_bucket > last:
@@ -332,5 +346,5 @@
         ]
 
     def _call(self, verb: model.StoreVerb, name: str) -> model.StoreCall:
-        self.operations += 1
-        return model.StoreCall(f'{JANITOR_OP}{self.operations}', verb, name)
+        self.op_count += 1
+        return model.StoreCall(f'{JANITOR_OP}{self.op_count}', verb, name)
