--- a/libs/ragwort_state/ragwort_state/_registry.py
+++ b/libs/ragwort_state/ragwort_state/_registry.py
@@ -1,4 +1,4 @@
-"""Entry hosts in the store, for hosts whose seeds are all gone."""
+"""Registry of entry hosts in the store, for hosts without a live seed."""
 
 import dataclasses
 import json
@@ -11,45 +11,45 @@
 REGISTER_OP = HOSTS_OP + 'register'
 LIST_OP = HOSTS_OP + 'list'
 REMOVE_OP = HOSTS_OP + 'remove'
-# Pause between lists of a host that knows no other, and between tries.
-ALONE_LIST_S = 3.0
-MIN_RETRY_S = 0.5
-MAX_RETRY_S = 5.0
+# Interval between lists while a host knows no other live host.
+ISOLATED_LIST_INTERVAL_S = 3.0
+MIN_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 5.0
 
 
 @dataclasses.dataclass(slots=True)
 class HostRegistry:
-    """Write this host down once, and read the others while alone."""
+    """Register this host once, and list the others while it is isolated."""
 
     host: model.EntryHost
     rng: random.Random
-    next_at: float
+    next_call_at: float
     is_registered: bool = False
     is_pending: bool = False
     has_listed: bool = False
-    retry_s: float = MIN_RETRY_S
+    backoff_s: float = MIN_BACKOFF_S
     removed: set[str] = dataclasses.field(default_factory=set)
 
     def tick(
-        self, now: float, is_alone: bool, gone: list[str]
+        self, now: float, is_isolated: bool, departed: list[str]
     ) -> list[model.StoreCall]:
         """Return the store call due now, if any.
 
-        gone names hosts that are down for so long that they won't return;
-        one host at a time passes them.
+        departed names hosts to remove, which have been down for too long
+        to return; only one host at a time passes any.
         """
-        if self.is_pending or now < self.next_at:
+        if self.is_pending or now < self.next_call_at:
             return []
         if not self.is_registered:
             self.is_pending = True
             value = json.dumps({'peers': self.host.peer_address})
             return [self._call(REGISTER_OP, model.StoreVerb.PUT, value)]
-        if is_alone or not self.has_listed:
+        if is_isolated or not self.has_listed:
             self.is_pending = True
             return [
                 model.StoreCall(LIST_OP, model.StoreVerb.LIST, HOSTS_PREFIX)
             ]
-        for name in gone:
+        for name in departed:
             if name not in self.removed:
                 self.removed.add(name)
                 self.is_pending = True
@@ -69,32 +69,36 @@
     def on_store_result(
         self, result: model.StoreResult, now: float
     ) -> list[str]:
-        """Take a call's end; return the peer addresses that it brought."""
+        """Handle a result and return the peer addresses that it lists."""
         self.is_pending = False
-        # A host that starts anew finds its own entry.
-        done = (
+        # A restarted host finds its own entry already there.
+        expected = (
             model.StoreStatus.OK,
             model.StoreStatus.CONFLICT,
             model.StoreStatus.NOT_FOUND,
         )
-        if result.status not in done:
-            self.next_at = now + self.retry_s * self.rng.uniform(0.5, 1.0)
-            self.retry_s = min(2 * self.retry_s, MAX_RETRY_S)
+        if result.status not in expected:
+            self.next_call_at = now + self.backoff_s * self.rng.uniform(
+                0.5, 1.0
+            )
+            self.backoff_s = min(2 * self.backoff_s, MAX_BACKOFF_S)
             return []
-        self.retry_s = MIN_RETRY_S
-        self.next_at = now
+        self.backoff_s = MIN_BACKOFF_S
+        self.next_call_at = now
         if result.op == REGISTER_OP:
             self.is_registered = True
         if result.op != LIST_OP:
             return []
         self.has_listed = True
-        self.next_at = now + ALONE_LIST_S * self.rng.uniform(0.75, 1.25)
+        self.next_call_at = now + ISOLATED_LIST_INTERVAL_S * self.rng.uniform(
+            0.75, 1.25
+        )
         found = [_peer_address(item) for item in result.objects]
         return [address for address in found if address is not None]
 
 
 def _peer_address(item: model.StoredObject) -> str | None:
-    """Return the address in an entry, None for one that can't be read."""
+    """Return the address in an entry, None if it can't be parsed."""
     try:
         return model.parse_address(json.loads(item.value or '')['peers'])
     except (ValueError, KeyError, TypeError):
