--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -159,7 +159,9 @@
 def check_conflict(context: Any) -> None:
     """Look for the base, the present and the wanted value."""
     text = context.conflict
-    assert 'was 9.0' in text and '2.5' in text and 'want 1.0' in text, text
+    assert (
+        'was 9.0' in text and '2.5' in text and '1.0 was requested' in text
+    ), text
 
 
 @when('an operator sends a request and asks for its explanation')
--- a/libs/ragwort_state/ragwort_state/_targets.py
+++ b/libs/ragwort_state/ragwort_state/_targets.py
@@ -1,4 +1,4 @@
-"""Changing a target while other operators change it too."""
+"""Changes of a target by several operators at once."""
 
 import dataclasses
 import json
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetChange:
-    """Fields that an operator sets, and the values it started from."""
+    """Target fields that an operator sets, and the base values it read."""
 
     class_of_work: str
     operator: str
@@ -36,20 +36,20 @@
     document = json.loads(value)
     current = document['target']
     for field, wanted in change.wanted.items():
-        moved = current[field] != change.base[field]
-        if moved and current[field] != wanted:
+        was_changed = current[field] != change.base[field]
+        if was_changed and current[field] != wanted:
             raise model.TargetConflictError(
                 f'{change.class_of_work}: {field} was {change.base[field]}, '
-                f'{document.get("changed_by") or "another operator"} set it '
-                f'to {current[field]}, and you want {wanted}; look at the '
-                'present target and decide again'
+                f'{document.get("changed_by") or "another operator"} has set '
+                f'it to {current[field]}, and {wanted} was requested; check '
+                'the current target before you retry'
             )
-    replaced = {
+    previous = {
         'target': current,
         'changed_by': document.get('changed_by', ''),
         'changed_at': document.get('changed_at', ''),
     }
-    history = [replaced, *document.get('history', [])]
+    history = [previous, *document.get('history', [])]
     document['history'] = history[: model.MAX_HISTORY]
     document['target'] = current | change.wanted
     document['changed_at'] = change.changed_at
@@ -61,5 +61,5 @@
 
 
 def is_applied(change: TargetChange, value: str) -> bool:
-    """Tell whether the stored object carries this very change."""
+    """Tell whether this change is the last one made to the object."""
     return bool(json.loads(value).get('operation_id') == change.operation_id)
