--- a/libs/ragwort_state/ragwort_state/_watcher.py
+++ b/libs/ragwort_state/ragwort_state/_watcher.py
@@ -1,4 +1,4 @@
-"""Reading the store: a few watchers, seldom polls by everybody else."""
+"""Reads of the store: watches by elected nodes, rare polls by others."""
 
 import random
 from typing import Any
@@ -12,7 +12,7 @@
 WATCH_WAIT_S = 20.0
 POLL_INTERVAL_S = 60.0
 PEER_GRACE_S = 2.0
-COLD_LIST_JITTER_S = 3.0
+FALLBACK_LIST_JITTER_S = 3.0
 MIN_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
 
@@ -20,8 +20,8 @@
 class Watcher:
     """Decide when to list, watch or poll the store.
 
-    An elected watcher keeps one watch open. Others list only if no peer
-    brought them a full state, and poll seldom.
+    An elected watcher keeps one watch open. Other nodes list only if no
+    peer has sent them the full state, and poll rarely.
     """
 
     def __init__(
@@ -43,30 +43,30 @@
         self.has_listed = False
         self.pending_op: str | None = None
         self.backoff_s = MIN_BACKOFF_S
-        self.not_before = now
-        self.cold_list_at = (
-            now + PEER_GRACE_S + rng.uniform(0, COLD_LIST_JITTER_S)
+        self.next_call_at = now
+        self.fallback_list_at = (
+            now + PEER_GRACE_S + rng.uniform(0, FALLBACK_LIST_JITTER_S)
         )
-        self.next_poll = now + self._poll_delay()
+        self.next_poll_at = now + self._poll_delay()
 
     def _poll_delay(self) -> float:
         return POLL_INTERVAL_S * self.rng.uniform(0.75, 1.25)
 
-    def tick(self, now: float, elected: bool) -> list[model.StoreCall]:
+    def tick(self, now: float, is_elected: bool) -> list[model.StoreCall]:
         """Return the store call due now, if any."""
         if self.has_listed and now >= self.started_at + PEER_GRACE_S:
             self.replica.synced = True
-        if self.pending_op is not None or now < self.not_before:
+        if self.pending_op is not None or now < self.next_call_at:
             return []
-        if elected:
-            # Right after an outage a watch that returns at once tells that
-            # the store is back; one that waits would tell with its events.
+        if is_elected:
+            # After an outage, a watch that returns at once shows that the
+            # store is back; a waiting one shows it only with its result.
             wait_s = 0.0 if self.is_store_unavailable else WATCH_WAIT_S
             return [self._watch(wait_s) if self.has_listed else self._list()]
-        if not self.replica.synced and now >= self.cold_list_at:
+        if not self.replica.synced and now >= self.fallback_list_at:
             return [] if self.has_listed else [self._list()]
-        if self.replica.synced and now >= self.next_poll:
-            self.next_poll = now + self._poll_delay()
+        if self.replica.synced and now >= self.next_poll_at:
+            self.next_poll_at = now + self._poll_delay()
             return [self._watch(0.0) if self.has_listed else self._list()]
         return []
 
@@ -87,13 +87,13 @@
     def on_store_result(
         self, result: model.StoreResult, now: float
     ) -> list[model.StoredObject]:
-        """Merge what a call brought and return the objects adopted."""
+        """Merge the objects of a result and return those adopted."""
         self.pending_op = None
         if result.status == model.StoreStatus.GONE:
             self.has_listed = False
             return []
         if result.status != model.StoreStatus.OK:
-            self.not_before = now + self.backoff_s * self.rng.uniform(0.5, 1)
+            self.next_call_at = now + self.backoff_s * self.rng.uniform(0.5, 1)
             self.backoff_s = min(2 * self.backoff_s, self.max_backoff_s)
             self.is_store_unavailable = True
             return []
