--- a/libs/ragwort_state/ragwort_state/_gossip.py
+++ b/libs/ragwort_state/ragwort_state/_gossip.py
@@ -53,7 +53,7 @@
             return messages
         if self.rounds_left and now >= self.next_rumour_at:
             self.next_rumour_at = now + RUMOUR_INTERVAL_S
-            messages += self._send_rumours(peers)
+            messages += self._rumour_messages(peers)
         if now >= self.next_digest_at:
             jitter = self.rng.uniform(0.75, 1.25)
             self.next_digest_at = now + DIGEST_INTERVAL_S * jitter
@@ -63,7 +63,9 @@
             )
         return messages
 
-    def _send_rumours(self, peers: list[str]) -> list[model.SendPeerMessage]:
+    def _rumour_messages(
+        self, peers: list[str]
+    ) -> list[model.SendPeerMessage]:
         names = list(self.rounds_left)
         objects = [
             self.replica.objects[n] for n in names if self._has_object(n)
