--- a/libs/ragwort_relay/ragwort_relay/_batcher.py
+++ b/libs/ragwort_relay/ragwort_relay/_batcher.py
@@ -1,8 +1,8 @@
-"""Gathering the pieces of many requests into calls to a stage service.
+"""Batching of pieces from many requests into calls to a stage service.
 
-Answers bursts beyond what small calls can carry: a call costs much before
-its first piece, so that one host gathers the pieces of all hosts and each
-runner gets one full call at a time.
+A call has a high fixed cost, so that many small calls could not keep up with
+a burst. One host therefore batches the pieces of all hosts and sends each
+runner one full call at a time.
 """
 
 import bisect
@@ -19,27 +19,27 @@
 from ragwort_relay import _routes
 from ragwort_relay import _waits
 
-# A runner this much slower than usual gets a call only if the others
-# could not have done it by then.
-SLOWNESS_WEIGHT = 0.3
-# Time to spare beyond the wait for a runner in the wanted failure domain.
-NEAR_SLACK_SHARE = 0.25
-# Time to send a runner without room only smaller results.
-FULL_S = 0.3
-# Smallest room that runners tell precisely enough to count by.
-MIN_TOLD_ROOM_BYTES = 8e6
-# Weight of a new call in the usual size of calls while more pieces wait.
-FULL_SIZE_WEIGHT = 0.1
-# Queueing time of the services that follow up to which results for requests
-# that can only be late are made: more would lie there and take the room.
-MAX_FOLLOWING_WAIT_S = 0.15
-# Time between the end of a call here and its answer at the asking host.
-RETURN_S = 0.03
+# An idle slow runner gets a call only if it would finish at most this share
+# later than the busy runners.
+SLOW_RUNNER_TOLERANCE = 0.3
+# Share of a group's slack that may go into waiting for a local runner.
+LOCAL_WAIT_SLACK_SHARE = 0.25
+# How long a runner whose storage is full gets only smaller results.
+STORAGE_FULL_S = 0.3
+# Below this size runners report free storage too coarsely to rely on it.
+MIN_REPORTED_STORAGE_BYTES = 8e6
+# Weight of a new call in the mean batch size.
+BATCH_SIZE_WEIGHT = 0.1
+# Downstream queueing time above which late groups are held back: their
+# results would only wait there and occupy storage.
+MAX_DOWNSTREAM_WAIT_S = 0.15
+# Time from the end of a call at this host to its reply at the asking host.
+REPLY_DELAY_S = 0.03
 
 
 @dataclasses.dataclass(slots=True)
-class _FormingCall:
-    """A call to an idle runner while its pieces are chosen."""
+class _DraftCall:
+    """A call to an idle runner whose pieces are still being chosen."""
 
     runner: _fleet.FleetRunner
     free_bytes: float
@@ -57,40 +57,40 @@
         self.free_bytes -= piece.group.result_bytes
 
 
-class _Turn(enum.IntEnum):
-    """Order at an idle runner, within which urgency decides.
+class _DispatchOrder(enum.IntEnum):
+    """Order of pieces for an idle runner; the queue's order breaks ties.
 
-    Pieces that can wait for another call leave this one to pieces whose
-    inputs or readers are in the runner's failure domain.
+    Local pieces, whose inputs or readers are in the runner's failure
+    domain, go before pieces that can wait for another call.
     """
 
-    PRESSED = 0
-    NEAR = 1
+    URGENT = 0
+    TIMELY_LOCAL = 1
     TIMELY = 2
-    LATE_NEAR = 3
+    LATE_LOCAL = 3
     LATE = 4
 
 
 class Batcher:
-    """Queue of pieces for one service, and the calls made of it."""
+    """Queue of pieces for one service, and the calls under way."""
 
     def __init__(
         self,
         limits: _routes.BatchLimits,
         choose_timely: _order.ChooseTimely = _order.timely_groups,
     ) -> None:
-        """Start empty."""
+        """Start with an empty queue and no calls."""
         self.limits = limits
         self.choose_timely = choose_timely
         self.queue: list[_pieces.QueuedPiece] = []
         self.timely: set[str] = set()
         self.timely_due: list[float] = []
-        self.full_size = float(limits.max_pieces)
+        self.mean_batch_size = float(limits.max_pieces)
         self.calls: dict[int, _pieces.BatchCall] = {}
         self.call_ids = itertools.count(1)
-        self.kept: dict[str, tuple[str, float, float]] = {}
+        self.stored_results: dict[str, tuple[str, float, float]] = {}
         self.used_bytes: dict[str, float] = {}
-        self.full_until: dict[str, tuple[float, float]] = {}
+        self.storage_limits: dict[str, tuple[float, float]] = {}
         self.foreign_bytes: dict[str, float] = {}
 
     def add(self, group: _pieces.PieceGroup) -> None:
@@ -99,7 +99,7 @@
         self.timely_due += [_order.due_at(group)] * len(group.work)
 
     def drop(self, group_id: str) -> int:
-        """Take out what waits of a group that nobody wants any more."""
+        """Remove the queued pieces of a cancelled group; return how many."""
         before = len(self.queue)
         self.queue = [
             piece for piece in self.queue if piece.group.group_id != group_id
@@ -109,28 +109,28 @@
     def remove_too_late(
         self, runners: Sequence[_fleet.FleetRunner], now: float
     ) -> list[_pieces.QueuedPiece]:
-        """Take out the groups that can't be made before their deadline.
+        """Remove and return the groups that can't meet their deadlines.
 
-        Those behind them in the queue move up, so that waiting for the
-        deadline to pass would help nobody, and a part of a group neither.
+        Removing them at once lets the groups behind them move up. A group
+        is removed as a whole, since a part of its results is of no use.
         """
-        throughput = self._sort(runners, now)
-        least_s = self.limits.duration_s(1)
-        kept: list[_pieces.QueuedPiece] = []
-        hopeless: list[_pieces.QueuedPiece] = []
+        throughput = self._sort_queue(runners, now)
+        min_call_s = self.limits.duration_s(1)
+        remaining: list[_pieces.QueuedPiece] = []
+        too_late: list[_pieces.QueuedPiece] = []
         for _, found in itertools.groupby(
             self.queue, key=lambda piece: piece.group.group_id
         ):
             pieces = list(found)
             start_s = (
-                throughput.start_delay_s(len(kept) + len(pieces))
+                throughput.start_delay_s(len(remaining) + len(pieces))
                 if runners
                 else 0.0
             )
-            is_late = now + start_s + least_s > pieces[0].group.deadline_at
-            (hopeless if is_late else kept).extend(pieces)
-        self.queue = kept
-        return hopeless
+            is_late = now + start_s + min_call_s > pieces[0].group.deadline_at
+            (too_late if is_late else remaining).extend(pieces)
+        self.queue = remaining
+        return too_late
 
     def next_calls(
         self,
@@ -138,67 +138,75 @@
         now: float,
         downstream_wait_s: float = 0.0,
     ) -> list[_pieces.BatchCall]:
-        """Return the calls to send now, most urgent pieces first.
+        """Return the calls to send now, the most urgent pieces first.
 
         downstream_wait_s is the queueing time of the services that read the
         results.
         """
         self._expire_results(now)
         usable = {runner.name: runner for runner in runners}
-        idle = self._idle(runners)
+        idle = self._idle_runners(runners)
         if not self.queue or not idle:
             return []
-        self._sort(runners, now)
-        forming = [
-            _FormingCall(runner, self._free_bytes(runner, now))
+        self._sort_queue(runners, now)
+        drafts = [
+            _DraftCall(runner, self._free_bytes(runner, now))
             for runner in sorted(idle, key=lambda r: (r.slowness, r.name))
-            if self._is_worth(runner, usable, now)
+            if self._is_worthwhile(runner, usable, now)
         ]
-        domains = {call.failure_domain for call in forming}
-        self.queue.sort(key=lambda piece: self._turn(piece, domains, now))
+        domains = {draft.failure_domain for draft in drafts}
+        self.queue.sort(
+            key=lambda piece: self._dispatch_order(piece, domains, now)
+        )
         waiting: list[_pieces.QueuedPiece] = []
         for piece in self.queue:
-            place = None
+            chosen = None
             if not self._is_held_back(piece.group, downstream_wait_s):
-                place = self._place(piece, forming, usable, now)
-            if place is None:
+                chosen = self._choose_draft(piece, drafts, usable, now)
+            if chosen is None:
                 waiting.append(piece)
             else:
-                place.add(piece)
+                chosen.add(piece)
         self.queue = waiting
-        self._note_sizes(forming)
-        return [self._start(call, now) for call in forming if call.pieces]
+        self._update_mean_batch_size(drafts)
+        return [
+            self._create_call(draft, now) for draft in drafts if draft.pieces
+        ]
 
-    def _note_sizes(self, formed: list['_FormingCall']) -> None:
-        """Learn how full calls are while timely pieces are left over.
+    def _update_mean_batch_size(self, drafts: list['_DraftCall']) -> None:
+        """Learn how full calls get while timely pieces are left over.
 
-        Room for results and groups that stay whole keep calls from being
-        full, and the queue from moving as fast as it could.
+        Limited storage and groups that are not split leave calls partly
+        empty, which lowers the throughput of the queue.
         """
         left = sum(p.group.group_id in self.timely for p in self.queue)
         if left < self.limits.max_pieces:
             return
-        for call in formed:
-            if call.pieces:
-                more = len(call.pieces) - self.full_size
-                self.full_size += FULL_SIZE_WEIGHT * more
+        for draft in drafts:
+            if draft.pieces:
+                difference = len(draft.pieces) - self.mean_batch_size
+                self.mean_batch_size += BATCH_SIZE_WEIGHT * difference
 
-    def _turn(
+    def _dispatch_order(
         self, piece: _pieces.QueuedPiece, domains: set[str], now: float
-    ) -> _Turn:
-        """Return the turn of a piece at idle runners of some domains."""
+    ) -> _DispatchOrder:
+        """Return the order of a piece for idle runners in some domains."""
         group = piece.group
-        is_near = group.failure_domain in domains
+        is_local = group.failure_domain in domains
         if group.sends:
-            return _Turn.PRESSED
+            return _DispatchOrder.URGENT
         if group.group_id not in self.timely:
-            return _Turn.LATE_NEAR if is_near else _Turn.LATE
-        full_s = self.limits.duration_s(self.limits.max_pieces)
-        if group.slack_s(now, full_s) < full_s:
-            return _Turn.PRESSED
-        return _Turn.NEAR if is_near else _Turn.TIMELY
+            return (
+                _DispatchOrder.LATE_LOCAL if is_local else _DispatchOrder.LATE
+            )
+        call_s = self.limits.duration_s(self.limits.max_pieces)
+        if group.slack_s(now, call_s) < call_s:
+            return _DispatchOrder.URGENT
+        return (
+            _DispatchOrder.TIMELY_LOCAL if is_local else _DispatchOrder.TIMELY
+        )
 
-    def _idle(
+    def _idle_runners(
         self, runners: Iterable[_fleet.FleetRunner]
     ) -> list[_fleet.FleetRunner]:
         busy = {call.runner.name for call in self.calls.values()}
@@ -207,34 +215,34 @@
     def _is_held_back(
         self, group: _pieces.PieceGroup, downstream_wait_s: float
     ) -> bool:
-        """Tell whether results would only lie in the way of timely ones."""
+        """Tell whether a late group waits for shorter downstream queues."""
         if group.sends or group.group_id in self.timely:
             return False
-        return downstream_wait_s > MAX_FOLLOWING_WAIT_S
+        return downstream_wait_s > MAX_DOWNSTREAM_WAIT_S
 
     def _throughput(
         self, runners: Sequence[_fleet.FleetRunner]
     ) -> _order.Throughput:
-        """Return how fast the runners take what waits."""
+        """Return how fast the runners take queued pieces."""
         limits = self.limits
         count = max(len(runners), 1)
         slowness = sum(r.slowness for r in runners) / count if runners else 1.0
-        full = min(max(self.full_size, 1.0), limits.max_pieces)
-        full_s = limits.duration_s(math.ceil(full)) * slowness
-        idle = len(self._idle(runners))
+        batch_size = min(max(self.mean_batch_size, 1.0), limits.max_pieces)
+        batch_s = limits.duration_s(math.ceil(batch_size)) * slowness
+        idle = len(self._idle_runners(runners))
         size = min(
             math.ceil(len(self.queue) / max(idle, 1)), limits.max_pieces
         )
         return _order.Throughput(
-            int(idle * full),
-            len(runners) * full / full_s,
+            int(idle * batch_size),
+            len(runners) * batch_size / batch_s,
             limits.duration_s(size) * slowness,
         )
 
-    def _sort(
+    def _sort_queue(
         self, runners: Sequence[_fleet.FleetRunner], now: float
     ) -> _order.Throughput:
-        """Put the queue in order and return the throughput it goes at."""
+        """Sort the queue and return its throughput."""
         throughput = self._throughput(runners)
         self.timely = self.choose_timely(self.queue, throughput, now)
         self.timely_due = [
@@ -242,60 +250,64 @@
             for piece in self.queue
             if piece.group.sends or piece.group.group_id in self.timely
         ]
-        self.queue.sort(key=self._urgency)
+        self.queue.sort(key=self._sort_key)
         return throughput
 
-    def _place(
+    def _choose_draft(
         self,
         piece: _pieces.QueuedPiece,
-        forming: list['_FormingCall'],
+        drafts: list['_DraftCall'],
         usable: dict[str, _fleet.FleetRunner],
         now: float,
-    ) -> '_FormingCall | None':
-        """Return the call for a piece, None if it had better wait.
+    ) -> '_DraftCall | None':
+        """Return the call for a piece, None if it should wait.
 
-        Results that cross failure domains are slow and dear, so that a
-        piece with time to spare waits for a runner of its own.
+        Moving results across failure domains is slow and costly, so that a
+        piece with slack waits for a local runner.
         """
         group = piece.group
-        places = [call for call in forming if self._fits(call, group)]
-        if not places:
+        candidates = [draft for draft in drafts if self._fits(draft, group)]
+        if not candidates:
             return None
         domain = group.failure_domain
-        near = [c for c in places if c.failure_domain == domain]
-        if near:
-            return near[0]
-        free_in_s = self._near_free_in_s(domain, usable, now)
+        local = [c for c in candidates if c.failure_domain == domain]
+        if local:
+            return local[0]
+        wait_s = self._local_wait_s(domain, usable, now)
         work_s = self.limits.duration_s(self.limits.max_pieces)
-        if free_in_s < NEAR_SLACK_SHARE * group.slack_s(now, work_s):
+        if wait_s < LOCAL_WAIT_SLACK_SHARE * group.slack_s(now, work_s):
             return None
         # Pieces of one request stay together: they share their inputs.
-        mine = [c for c in places if c.holds(group)]
-        return mine[0] if mine else max(places, key=lambda c: len(c.pieces))
+        shared = [c for c in candidates if c.holds(group)]
+        return (
+            shared[0]
+            if shared
+            else max(candidates, key=lambda c: len(c.pieces))
+        )
 
-    def _fits(self, call: '_FormingCall', group: _pieces.PieceGroup) -> bool:
+    def _fits(self, draft: '_DraftCall', group: _pieces.PieceGroup) -> bool:
         """Tell whether a call can take a piece of a group.
 
-        A group that was not begun starts only in a call that can hold all
-        of it, or as much of it as any call can.
+        A group starts only in a call that can hold all of it, or as much
+        of it as any call can.
         """
-        free = self.limits.max_pieces - len(call.pieces)
-        if free < 1 or call.free_bytes < group.result_bytes:
+        free = self.limits.max_pieces - len(draft.pieces)
+        if free < 1 or draft.free_bytes < group.result_bytes:
             return False
-        if group.sends or call.holds(group):
+        if group.sends or draft.holds(group):
             return True
-        whole = min(len(group.work), self.limits.max_pieces)
-        return free >= whole and (
-            call.free_bytes >= whole * group.result_bytes
+        needed = min(len(group.work), self.limits.max_pieces)
+        return free >= needed and (
+            draft.free_bytes >= needed * group.result_bytes
         )
 
-    def _near_free_in_s(
+    def _local_wait_s(
         self,
         domain: str,
         usable: dict[str, _fleet.FleetRunner],
         now: float,
     ) -> float:
-        """Return when a busy runner of a failure domain is free."""
+        """Return the time until a busy runner of a failure domain is free."""
         return min(
             (
                 max(call.sent_at + call.expected_s - now, 0.0)
@@ -306,10 +318,10 @@
             default=math.inf,
         )
 
-    def _urgency(
+    def _sort_key(
         self, piece: _pieces.QueuedPiece
     ) -> tuple[bool, bool, float, str, int, int]:
-        """Return the order of pieces: begun, timely and late groups."""
+        """Return the sort key: started groups, then timely, then late ones."""
         group = piece.group
         is_late = group.group_id not in self.timely
         due = group.deadline_at if is_late else group.target_at
@@ -323,120 +335,131 @@
             work.piece,
         )
 
-    def _is_worth(
+    def _is_worthwhile(
         self,
         runner: _fleet.FleetRunner,
         usable: dict[str, _fleet.FleetRunner],
         now: float,
     ) -> bool:
-        """Tell whether a slow runner is done sooner than a busy fast one."""
+        """Tell whether an idle runner finishes about as soon as busy ones."""
         count = min(len(self.queue), self.limits.max_pieces)
-        usual_s = self.limits.duration_s(count)
-        here = usual_s * runner.slowness
-        others = [
+        typical_s = self.limits.duration_s(count)
+        finish_s = typical_s * runner.slowness
+        others_finish_s = [
             call.sent_at
             + call.expected_s
             - now
-            + usual_s * call.runner.slowness
+            + typical_s * call.runner.slowness
             for call in self.calls.values()
             if call.runner.name in usable
         ]
-        # Each busy runner takes one call before the queue is at its end.
+        # The full calls ahead in the queue go to the busy runners first.
         ahead = len(self.queue) // max(self.limits.max_pieces, 1)
-        others.sort()
-        if ahead >= len(others):
+        others_finish_s.sort()
+        if ahead >= len(others_finish_s):
             return True
-        return here <= max(others[ahead], usual_s) * (1 + SLOWNESS_WEIGHT)
+        return finish_s <= max(others_finish_s[ahead], typical_s) * (
+            1 + SLOW_RUNNER_TOLERANCE
+        )
 
     def _free_bytes(self, runner: _fleet.FleetRunner, now: float) -> float:
-        until, least = self.full_until.get(runner.name, (now, 0.0))
+        until, limit = self.storage_limits.get(runner.name, (now, 0.0))
         used = self.used_bytes.get(runner.name, 0.0)
         foreign = self.foreign_bytes.get(runner.name, 0.0)
         free = self.limits.storage_bytes - used - foreign
-        return min(free, least) if now < until else free
+        return min(free, limit) if now < until else free
 
-    def _start(self, forming: '_FormingCall', now: float) -> _pieces.BatchCall:
-        runner = forming.runner
-        usual_s = self.limits.duration_s(len(forming.pieces))
+    def _create_call(
+        self, draft: '_DraftCall', now: float
+    ) -> _pieces.BatchCall:
+        runner = draft.runner
+        typical_s = self.limits.duration_s(len(draft.pieces))
         call = _pieces.BatchCall(
             next(self.call_ids),
             runner,
-            forming.pieces,
+            draft.pieces,
             now,
-            usual_s * runner.slowness,
+            typical_s * runner.slowness,
         )
         self.calls[call.call_id] = call
-        self._use(runner.name, call.result_bytes)
+        self._add_used_bytes(runner.name, call.result_bytes)
         return call
 
-    def _use(self, runner: str, amount: float) -> None:
+    def _add_used_bytes(self, runner: str, amount: float) -> None:
         used = self.used_bytes.get(runner, 0.0) + amount
         self.used_bytes[runner] = max(used, 0.0)
 
     def on_answer(
         self, call: _pieces.BatchCall, handles: list[str | None], now: float
     ) -> None:
-        """Take a call's answer: a handle, or None, for each piece."""
+        """Record a call's answer: a handle or None for each piece."""
         self.calls.pop(call.call_id, None)
         runner = call.runner
-        usual_s = self.limits.duration_s(len(call.pieces))
-        ratio = max((now - call.sent_at) / usual_s, 1.0)
+        typical_s = self.limits.duration_s(len(call.pieces))
+        ratio = max((now - call.sent_at) / typical_s, 1.0)
         runner.slowness += 0.5 * (ratio - runner.slowness)
         until = now + self.limits.result_ttl_s
         for piece, handle in zip(call.pieces, handles, strict=True):
             if handle is None:
-                self._use(runner.name, -piece.group.result_bytes)
+                self._add_used_bytes(runner.name, -piece.group.result_bytes)
             else:
                 size = piece.group.result_bytes
-                self.kept[handle] = (runner.name, size, until)
+                self.stored_results[handle] = (runner.name, size, until)
 
     def on_storage_full(
         self, call: _pieces.BatchCall, size: float, now: float
     ) -> None:
-        """Send a runner only smaller results for a while.
+        """Give a runner only smaller results for a while.
 
-        Its room is taken by results that this host does not count: of an
-        owner before it, or of hosts that gather for themselves.
+        Its storage holds results that this host does not count: those of an
+        earlier owner, or of hosts that batch for themselves.
         """
-        self.full_until[call.runner.name] = (now + FULL_S, size / 2)
+        self.storage_limits[call.runner.name] = (
+            now + STORAGE_FULL_S,
+            size / 2,
+        )
 
     def on_free_bytes(self, runner: str, free_bytes: float) -> None:
-        """Take a runner's own word on its room."""
+        """Record the free storage that a runner reports."""
         used = self.used_bytes.get(runner, 0.0)
         foreign = self.limits.storage_bytes - free_bytes - used
         self.foreign_bytes[runner] = max(foreign, 0.0)
-        self.full_until.pop(runner, None)
+        self.storage_limits.pop(runner, None)
 
     def may_hold_foreign_results(self, runner: str, now: float) -> bool:
-        """Tell whether others' results may lie at a runner.
+        """Tell whether a runner may hold results of other hosts.
 
-        A runner tells its room too coarsely for small rooms.
+        Unknown for small storage, which runners report too coarsely.
         """
-        if self.limits.storage_bytes < MIN_TOLD_ROOM_BYTES:
+        if self.limits.storage_bytes < MIN_REPORTED_STORAGE_BYTES:
             return False
-        until, _ = self.full_until.get(runner, (now, 0.0))
+        until, _ = self.storage_limits.get(runner, (now, 0.0))
         return now < until or self.foreign_bytes.get(runner, 0.0) > 0.0
 
     def on_failure(self, call: _pieces.BatchCall) -> None:
-        """Forget a call that brought no answer."""
+        """Remove a call that got no usable answer."""
         self.calls.pop(call.call_id, None)
-        self._use(call.runner.name, -call.result_bytes)
+        self._add_used_bytes(call.runner.name, -call.result_bytes)
 
     def release(self, handles: Iterable[str]) -> None:
-        """Count results as gone from their runners."""
+        """Count the storage of released results as free."""
         for handle in handles:
-            runner, size, _ = self.kept.pop(handle, ('', 0.0, 0.0))
+            runner, size, _ = self.stored_results.pop(handle, ('', 0.0, 0.0))
             if runner:
-                self._use(runner, -size)
+                self._add_used_bytes(runner, -size)
 
     def _expire_results(self, now: float) -> None:
-        over = [h for h, (_, _, until) in self.kept.items() if now >= until]
-        self.release(over)
+        expired = [
+            handle
+            for handle, (_, _, until) in self.stored_results.items()
+            if now >= until
+        ]
+        self.release(expired)
 
     def queue_wait(
         self, runners: Sequence[_fleet.FleetRunner], now: float
     ) -> _waits.QueueWait:
-        """Return how long a new piece waits before its call starts."""
+        """Return how long new pieces will wait before their calls start."""
         if not runners:
             return _waits.QueueWait((), 0.0, now)
         throughput = self._throughput(runners)
--- a/libs/ragwort_relay/ragwort_relay/_pieces.py
+++ b/libs/ragwort_relay/ragwort_relay/_pieces.py
@@ -1,23 +1,24 @@
-"""Pieces of stage work that wait at an owner, and calls made of them."""
+"""Pieces of stage work queued at an owner, and batched calls of them."""
 
 import dataclasses
 
 from ragwort_relay import _fleet
 from ragwort_relay import _stages
 
-# Patience with a call, as a multiple of its expected time and at least.
-PATIENCE_FACTOR = 3.0
-PATIENCE_S = 0.6
+# Timeout of a call as a multiple of its expected time, and its minimum.
+TIMEOUT_FACTOR = 3.0
+MIN_TIMEOUT_S = 0.6
 
 
 @dataclasses.dataclass(slots=True)
 class PieceGroup:
-    """The pieces of one stage of one request, wanted by one host.
+    """The pieces of one stage of one request, asked for by one host.
 
-    failure_domain is where the inputs lie or the results will be read,
-    empty where that does not matter.
-    target_at and deadline_at are when the stage has to be done to meet the
+    failure_domain is where the inputs are stored or the results will be
+    read, empty where that does not matter.
+    target_at and deadline_at are when the stage has to finish to meet the
     request's target and its deadline, in seconds of this host's clock.
+    sends counts the pieces sent so far; a group with none is not started.
     """
 
     group_id: str
@@ -30,13 +31,13 @@
     sends: int = 0
 
     def slack_s(self, now: float, work_s: float) -> float:
-        """Return the time to spare before the target, in seconds."""
+        """Return the seconds left before the target after work_s of work."""
         return self.target_at - now - work_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueuedPiece:
-    """One piece that waits for a call."""
+    """One piece waiting for a call."""
 
     group: PieceGroup
     work: _stages.PieceWork
@@ -44,7 +45,7 @@
 
 @dataclasses.dataclass(slots=True)
 class BatchCall:
-    """A call to one runner; timeout_s is when to give it up."""
+    """A batch of pieces sent to one runner."""
 
     call_id: int
     runner: _fleet.FleetRunner
@@ -54,10 +55,10 @@
 
     @property
     def timeout_s(self) -> float:
-        """Return how long to wait for the answer."""
-        return max(PATIENCE_FACTOR * self.expected_s, PATIENCE_S)
+        """Return how long to wait for the answer, in seconds."""
+        return max(TIMEOUT_FACTOR * self.expected_s, MIN_TIMEOUT_S)
 
     @property
     def result_bytes(self) -> float:
-        """Return the room that the results will take."""
+        """Return the storage that the results will take."""
         return sum(piece.group.result_bytes for piece in self.pieces)
