--- a/libs/ragwort_relay/ragwort_relay/_waits.py
+++ b/libs/ragwort_relay/ragwort_relay/_waits.py
@@ -1,22 +1,22 @@
-"""Queueing times of stage services, as this host last heard of them."""
+"""Queueing times of stage services, as last reported to this host."""
 
 import bisect
 from collections.abc import Iterable
 import dataclasses
 
-# Times until a group is due for which queueing times are told, in seconds:
-# what is due sooner goes first, so that each waits for a part of the queue.
+# Times until a group is due for which queueing times are reported, in
+# seconds: groups that are due sooner go first and wait for less of the queue.
 DUE_POINTS_S = (0.25, 0.5, 1.0, 2.0, 4.0)
-# Age after which word of a queue is no longer used.
+# Reports older than this are not used.
 MAX_AGE_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueueWait:
-    """Queueing times of a service in seconds, and when they were so.
+    """Queueing times of a service in seconds, and when they were measured.
 
-    What can be timely waits as waits_s says for each of DUE_POINTS_S; what
-    can only be late waits late_wait_s.
+    waits_s holds the wait of timely work for each of DUE_POINTS_S;
+    late_wait_s is the wait of work that can't meet its target.
     """
 
     waits_s: tuple[float, ...]
@@ -25,45 +25,45 @@
 
 
 class QueueWaits:
-    """What this host knows of queues, its own among them."""
+    """Latest queueing times of all services, those queued here included."""
 
     def __init__(self) -> None:
-        """Start without any word."""
+        """Start without queueing times."""
         self.by_service: dict[str, QueueWait] = {}
 
-    def update(self, service: str, word: QueueWait) -> None:
-        """Take word of a service unless there is newer one."""
+    def update(self, service: str, wait: QueueWait) -> None:
+        """Store the queueing times of a service unless newer ones exist."""
         known = self.by_service.get(service)
-        if known is None or word.measured_at >= known.measured_at:
-            self.by_service[service] = word
+        if known is None or wait.measured_at >= known.measured_at:
+            self.by_service[service] = wait
 
     def recent(self, now: float) -> dict[str, QueueWait]:
-        """Return what is not too old to be used."""
+        """Return the queueing times that are recent enough to be used."""
         return {
-            service: word
-            for service, word in self.by_service.items()
-            if now - word.measured_at < MAX_AGE_S
+            service: wait
+            for service, wait in self.by_service.items()
+            if now - wait.measured_at < MAX_AGE_S
         }
 
     def wait_s(self, service: str, due_s: float, now: float) -> float:
-        """Return the queueing time for what is due in so many seconds."""
-        word = self.by_service.get(service)
-        if word is None or not word.waits_s:
+        """Return the queueing time of work that is due in due_s seconds."""
+        wait = self.by_service.get(service)
+        if wait is None or not wait.waits_s:
             return 0.0
         point = bisect.bisect_left(DUE_POINTS_S, due_s)
-        wait_s = word.waits_s[min(point, len(word.waits_s) - 1)]
-        return _left_s(word, wait_s, now)
+        wait_s = wait.waits_s[min(point, len(wait.waits_s) - 1)]
+        return _remaining_s(wait, wait_s, now)
 
     def late_wait_s(self, service: str, now: float) -> float:
-        """Return the queueing time for what can only be late."""
-        word = self.by_service.get(service)
-        return _left_s(word, word.late_wait_s, now) if word else 0.0
+        """Return the queueing time of work that can't meet its target."""
+        wait = self.by_service.get(service)
+        return _remaining_s(wait, wait.late_wait_s, now) if wait else 0.0
 
     def max_late_wait_s(self, services: Iterable[str], now: float) -> float:
-        """Return the longest queueing time of some services."""
+        """Return the longest queueing time of late work at some services."""
         return max((self.late_wait_s(s, now) for s in services), default=0.0)
 
 
-def _left_s(word: QueueWait, wait_s: float, now: float) -> float:
-    age_s = now - word.measured_at
+def _remaining_s(wait: QueueWait, wait_s: float, now: float) -> float:
+    age_s = now - wait.measured_at
     return max(wait_s - age_s, 0.0) if age_s < MAX_AGE_S else 0.0
