--- a/libs/ragwort_relay/ragwort_relay/_admission.py
+++ b/libs/ragwort_relay/ragwort_relay/_admission.py
@@ -1,7 +1,7 @@
-"""Refusing at once what can't be served, with a time to come back.
+"""Admission control: immediate refusals with a time to retry after.
 
-Answers long overload: work that could only fail is turned away before it
-takes room from work that can be in time.
+Under long overload, requests that would miss their deadlines are refused
+before they take capacity from those that can meet them.
 """
 
 from collections.abc import Mapping
@@ -14,19 +14,19 @@
 from ragwort_relay import _routes
 from ragwort_relay import _stages
 
-# Share of the time left that the forecast may take: forecasts are short
-# of what comes in while a request is under way.
+# Share of the remaining time that a forecast may take. Forecasts leave out
+# the requests that arrive while this one is under way.
 FORECAST_SHARE = 0.9
 MIN_RETRY_AFTER_S = 0.3
 MAX_RETRY_AFTER_S = 4.0
-# Usual time from a main call's send to its first event, and what each
+# Typical time from sending a main call to its first event, and what each
 # token of the prompt adds to it.
 FIRST_EVENT_S = 0.1
 FIRST_EVENT_S_PER_TOKEN = 1.0 / 40_000.0
 
 
 class Verdict(enum.StrEnum):
-    """What admission decided."""
+    """Decision of admission control."""
 
     ADMIT = 'admit'
     ADMIT_LATE = 'admit_late'
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forecast:
-    """Expected time of a request, and the queueing time within it."""
+    """Expected time of a request and the part of it spent queueing."""
 
     total_s: float
     queue_s: float
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admission:
-    """The decision on one request; retry_after_s is set for refusals."""
+    """Decision on one request; retry_after_s is set for refusals."""
 
     verdict: Verdict
     forecast: Forecast
@@ -52,7 +52,7 @@
 
 
 def first_event_s(prompt: Sequence[_prompts.PromptPart]) -> float:
-    """Return the usual time from the main call to its first event."""
+    """Return the typical time from the main call to its first event."""
     tokens = sum(part.tokens for part in prompt)
     return FIRST_EVENT_S + tokens * FIRST_EVENT_S_PER_TOKEN
 
@@ -60,30 +60,32 @@
 def typical_stage_s(
     run: _stages.StageRun, services: Mapping[str, _routes.ServiceSpec]
 ) -> list[float]:
-    """Return the usual time of each stage's last call, in seconds."""
-    found: list[float] = []
+    """Return the typical time of a call of each stage, in seconds."""
+    times_s: list[float] = []
     for index, spec in enumerate(run.stages):
         service = services.get(spec.service)
         limits = service.batch_limits if service else None
         count = min(run.pieces[index], limits.max_pieces) if limits else 0
-        found.append(limits.duration_s(count) if limits else 0.0)
-    return found
+        times_s.append(limits.duration_s(count) if limits else 0.0)
+    return times_s
 
 
 def forecast(
     run: _stages.StageRun,
     work_s: Sequence[float],
     waits_s: Sequence[float],
-    first_s: float,
+    time_to_first_event_s: float,
 ) -> Forecast:
-    """Return the time along the longest path through the stages.
+    """Return the expected time of the critical path and the main call.
 
-    work_s and waits_s are the time of each stage and of the queue before
-    it; first_s is what the main call will take to its first event.
+    work_s and waits_s are the times of each stage and of the queue before
+    it; time_to_first_event_s is what the main call adds.
     """
-    both = [a + b for a, b in zip(work_s, waits_s, strict=True)]
-    total_s = run.critical_path_s(both)
-    return Forecast(total_s + first_s, total_s - run.critical_path_s(work_s))
+    stage_s = [a + b for a, b in zip(work_s, waits_s, strict=True)]
+    total_s = run.critical_path_s(stage_s)
+    return Forecast(
+        total_s + time_to_first_event_s, total_s - run.critical_path_s(work_s)
+    )
 
 
 def admit(
@@ -95,9 +97,9 @@
 ) -> Admission:
     """Decide on a request with remaining_s seconds to its deadline.
 
-    What can meet its target, target_s from now, goes before what can only
-    be late: timely is the forecast for that, expected the one behind all
-    that waits.
+    Work that can meet its target, target_s from now, goes before late
+    work: timely is the forecast for a request that goes before late work,
+    expected the one for a request that waits for the whole queue.
     """
     if timely.total_s <= target_s:
         return Admission(Verdict.ADMIT, timely, remaining_s)
@@ -110,16 +112,16 @@
 
 
 def retry_after_s(queue_s: float, rng: random.Random) -> float:
-    """Return when to come back, spread so that callers don't all return."""
-    base = min(max(queue_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
-    return base * rng.uniform(0.7, 1.3)
+    """Return a time to retry after, with jitter to spread the retries."""
+    base_s = min(max(queue_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
+    return base_s * rng.uniform(0.7, 1.3)
 
 
 def time_after_stage_s(
     run: _stages.StageRun, stage: int, stage_s: Sequence[float]
 ) -> float:
-    """Return the seconds of work that follow a stage before the call."""
-    followers = [
+    """Return the expected seconds from a stage's end to the main call."""
+    dependents = [
         index
         for index, spec in enumerate(run.stages)
         if stage in spec.after and run.pieces[index]
@@ -127,7 +129,7 @@
     return max(
         (
             stage_s[index] + time_after_stage_s(run, index, stage_s)
-            for index in followers
+            for index in dependents
         ),
         default=0.0,
     )
--- a/libs/ragwort_relay/ragwort_relay/_attempts.py
+++ b/libs/ragwort_relay/ragwort_relay/_attempts.py
@@ -1,13 +1,14 @@
-"""What follows when a runner's answer is not the caller's answer."""
+"""Decisions on sending a call again after it failed."""
 
 import dataclasses
 import enum
 
 from ragwort_relay import _routes
 
-# Least time that another try is worth starting with, in seconds.
+# Another send needs at least this much time.
 MIN_RETRY_S = 0.05
-# Tries that runners turned away or never got, over those that ran.
+# Limit on sends that were rejected or never arrived, which the route's
+# attempts do not count.
 MAX_SENDS_NOT_RUN = 3
 
 
@@ -15,8 +16,8 @@
     """How sending a call to a runner ended.
 
     NOT_SENT and NOT_RUN prove that the runner did not run it. FAILED is
-    the runner's own error answer. LOST: it may have run, and no whole
-    answer came. BROKEN: a stream ended before its end.
+    the runner's own error answer. LOST means that it may have run, but no
+    complete answer arrived, BROKEN that a stream stopped early.
     """
 
     DONE = 'done'
@@ -43,7 +44,7 @@
 class Attempts:
     """The sends of one call so far.
 
-    ran counts those that may have run, not_run those that did not.
+    ran counts the sends that may have run, not_run those that did not.
     """
 
     route: _routes.Route
@@ -51,7 +52,7 @@
     not_run: int = 0
 
     def on_result(self, result: SendResult) -> None:
-        """Count a send."""
+        """Count a send by its result."""
         if result in NOT_RUN_RESULTS:
             self.not_run += 1
         else:
@@ -71,10 +72,10 @@
 def next_step(
     result: SendResult, may_send_again: bool, may_have_run: bool
 ) -> NextStep:
-    """Return what follows a send.
+    """Return the next step after a send.
 
-    A runner's own failure is delivered as it is if nothing better can be
-    had; a refusal is only for calls of which no send may have run.
+    A runner's own error answer is delivered if the call can't be sent
+    again. Only calls of which no send may have run are refused.
     """
     if result == SendResult.DONE:
         return NextStep.DELIVER
--- a/libs/ragwort_relay/ragwort_relay/_stages.py
+++ b/libs/ragwort_relay/ragwort_relay/_stages.py
@@ -8,10 +8,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PieceWork:
-    """One piece of a stage to be made.
+    """One piece of a stage to run.
 
-    A piece of a stage with nothing before it gets the request's own key,
-    any other the handles of all results that it needs.
+    A piece of a stage without dependencies gets the request's own key, any
+    other the handles of all results that it reads.
     """
 
     request_id: str
@@ -22,7 +22,7 @@
 
 
 class StageRun:
-    """Tell which pieces can be made next, and collect their handles."""
+    """Progress of a request's stages and the handles of their results."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         pieces: Sequence[int],
         key: str,
     ) -> None:
-        """Start with nothing made; raise ValueError if pieces don't fit."""
+        """Start without results; raise ValueError for invalid counts."""
         if len(pieces) != len(stages):
             raise ValueError(f'{len(pieces)} counts for {len(stages)} stages')
         if any(count < 0 for count in pieces):
@@ -47,7 +47,7 @@
         }
 
     def is_complete(self, stage: int) -> bool:
-        """Tell whether all pieces of a stage are made."""
+        """Tell whether all pieces of a stage have results."""
         return len(self.handles[stage]) == self.pieces[stage]
 
     @property
@@ -60,7 +60,7 @@
         return len(self.stages)
 
     def ready(self) -> list[int]:
-        """Return the stages that can start now."""
+        """Return the unstarted stages whose dependencies are complete."""
         return [
             index
             for index, spec in enumerate(self.stages)
@@ -70,29 +70,29 @@
         ]
 
     def start(self, stage: int, now: float) -> None:
-        """Note that a stage is being made."""
+        """Record the start of a stage."""
         self.started_at[stage] = now
 
     def slack_s(
         self, stage: int, stage_s: Sequence[float], now: float
     ) -> float:
-        """Return how much later a stage could start and end with the others.
+        """Return how long a stage can be delayed without delaying the rest.
 
-        stage_s is the expected time of each stage in seconds. Stages that
-        others wait for have none to spare.
+        stage_s is the expected time of each stage in seconds. Stages with
+        dependents have no slack.
         """
         if stage in self.stages_with_dependents:
             return 0.0
-        left_s = [
+        remaining_s = [
             0.0
             if index == stage
             else max(s - (now - self.started_at.get(index, now)), 0.0)
             for index, s in enumerate(stage_s)
         ]
-        return max(self.critical_path_s(left_s) - stage_s[stage], 0.0)
+        return max(self.critical_path_s(remaining_s) - stage_s[stage], 0.0)
 
     def work(self, stage: int) -> list[PieceWork]:
-        """Return the pieces of a stage that is ready."""
+        """Return the pieces of a ready stage."""
         spec = self.stages[stage]
         inputs = tuple(
             handle for needed in spec.after for handle in self.results(needed)
@@ -104,24 +104,24 @@
         ]
 
     def results(self, stage: int) -> list[str]:
-        """Return the handles of a stage in the order of its pieces."""
+        """Return the handles of a stage's results in order of pieces."""
         return [handle for _, handle in sorted(self.handles[stage].items())]
 
     def add_result(self, stage: int, piece: int, handle: str) -> None:
-        """Keep the handle of a piece; a piece made twice keeps its first."""
+        """Store the handle of a piece's result; a second one is ignored."""
         self.handles[stage].setdefault(piece, handle)
 
     def is_consumed(self, stage: int) -> bool:
-        """Tell whether every stage that needs these results is complete."""
-        followers = [
+        """Tell whether every stage that reads these results is complete."""
+        dependents = [
             index
             for index, spec in enumerate(self.stages)
             if stage in spec.after
         ]
-        return bool(followers) and all(map(self.is_complete, followers))
+        return bool(dependents) and all(map(self.is_complete, dependents))
 
     def main_call_inputs(self) -> list[str]:
-        """Return the handles that the main call needs."""
+        """Return the handles of the results that the main call reads."""
         return [
             handle
             for stage in range(len(self))
@@ -130,17 +130,19 @@
         ]
 
     def all_handles(self) -> list[str]:
-        """Return the handles of everything made."""
-        return [handle for made in self.handles for handle in made.values()]
+        """Return the handles of all results."""
+        return [
+            handle for results in self.handles for handle in results.values()
+        ]
 
     def critical_path_s(self, stage_s: Sequence[float]) -> float:
-        """Return the longest time along the stages still to be made.
+        """Return the longest time along the stages still to run.
 
         stage_s is the expected time of each stage in seconds.
         """
         ends: list[float] = []
         for index, spec in enumerate(self.stages):
             before = max((ends[needed] for needed in spec.after), default=0.0)
-            is_open = self.pieces[index] and not self.is_complete(index)
-            ends.append(before + (stage_s[index] if is_open else 0.0))
+            is_pending = self.pieces[index] and not self.is_complete(index)
+            ends.append(before + (stage_s[index] if is_pending else 0.0))
         return max(ends, default=0.0)
