--- a/libs/ragwort_relay/ragwort_relay/_catalog.py
+++ b/libs/ragwort_relay/ragwort_relay/_catalog.py
@@ -1,4 +1,4 @@
-"""What a relay host knows from the store: configuration and runners."""
+"""Configuration and runners as a relay host last read them."""
 
 from typing import Protocol
 
@@ -9,33 +9,33 @@
 
 
 class ObjectDecoder(Protocol):
-    """Turns stored objects into the project's types.
+    """Decodes stored objects into the project's types.
 
-    Each method raises ConfigurationError for content that can't be used.
+    The decode methods raise ConfigurationError for invalid content.
     """
 
     def is_configuration(self, name: str) -> bool:
-        """Tell whether the object holds the configuration."""
+        """Tell whether an object holds the configuration."""
 
     def is_runner(self, name: str) -> bool:
-        """Tell whether the object is a runner's entry."""
+        """Tell whether an object is a runner's entry."""
 
     def decode_configuration(self, value: str) -> _routes.RelayConfiguration:
-        """Return the configuration."""
+        """Return the decoded configuration."""
 
     def decode_runner(self, name: str, value: str) -> _fleet.RunnerEntry:
-        """Return a runner's entry."""
+        """Return the decoded entry of a runner."""
 
 
 class RelayCatalog:
     """The last valid configuration and the runners in the store.
 
-    An object that can't be read leaves what was known in force; a runner's
-    entry that can't be read names no runner to use.
+    An invalid configuration leaves the last valid one in force; an invalid
+    entry removes its runner.
     """
 
     def __init__(self, decoder: ObjectDecoder) -> None:
-        """Start empty."""
+        """Start without configuration and runners."""
         self.decoder = decoder
         self.configuration: _routes.RelayConfiguration | None = None
         self.fleet = _fleet.Fleet()
@@ -44,7 +44,7 @@
         self.now = 0.0
 
     def apply(self, item: model.StoredObject) -> None:
-        """Take a newer version of an object."""
+        """Apply a newer version of a stored object."""
         try:
             self._apply(item)
         except model.ConfigurationError as error:
--- a/libs/ragwort_relay/ragwort_relay/_fleet.py
+++ b/libs/ragwort_relay/ragwort_relay/_fleet.py
@@ -1,13 +1,13 @@
-"""Runners as their entries and this host's own calls show them."""
+"""Runners listed in the store, with this host's statistics of them."""
 
 import dataclasses
 
 import ragwort_model as model
 import ragwort_policy as policy
 
-# How long a runner whose entry vanished right after an outage of the
-# store may still be alive: living runners are listed again by then.
-RETURN_GRACE_S = 2.0
+# After an outage of the store, live runners register again within this time;
+# until then a missing entry does not mean that its runner is gone.
+REREGISTRATION_GRACE_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -25,10 +25,10 @@
 
 @dataclasses.dataclass(slots=True)
 class FleetRunner:
-    """An entry with what this host learned of the runner.
+    """A runner's entry and what this host learned of the runner.
 
     unconfirmed_until is set while the entry is missing after an outage;
-    slowness is the decayed ratio of work time to the usual time.
+    slowness is the decayed ratio of work time to the typical time.
     """
 
     entry: RunnerEntry
@@ -44,7 +44,7 @@
 
     @property
     def address(self) -> str:
-        """Return the runner's IP number and port."""
+        """Return the runner's IP address and port."""
         return self.entry.runner.address
 
     def is_usable(self, now: float) -> bool:
@@ -55,7 +55,7 @@
 
 
 class Fleet:
-    """All runners, by service."""
+    """All known runners."""
 
     def __init__(self) -> None:
         """Start without runners."""
@@ -63,11 +63,11 @@
         self.store_recovered_at: float | None = None
 
     def on_store_recovered(self, now: float) -> None:
-        """Note that the store answers again after an outage."""
+        """Record the end of an outage of the store."""
         self.store_recovered_at = now
 
     def update(self, name: str, entry: RunnerEntry | None, now: float) -> None:
-        """Take an entry, or None where it was removed."""
+        """Store a runner's entry, None if it was removed."""
         known = self.runners.get(name)
         if entry is None:
             if known is not None:
@@ -84,28 +84,31 @@
         known.unconfirmed_until = None
 
     def _remove(self, known: FleetRunner, now: float) -> None:
-        back = self.store_recovered_at
-        if back is not None and now < back + RETURN_GRACE_S:
-            known.unconfirmed_until = back + RETURN_GRACE_S
+        recovered_at = self.store_recovered_at
+        if (
+            recovered_at is not None
+            and now < recovered_at + REREGISTRATION_GRACE_S
+        ):
+            known.unconfirmed_until = recovered_at + REREGISTRATION_GRACE_S
             return
         del self.runners[known.name]
 
     def remove_expired(self, now: float) -> None:
-        """Forget runners whose entries did not come back in time."""
+        """Remove runners that did not register again in time."""
         for runner in list(self.runners.values()):
             until = runner.unconfirmed_until
             if until is not None and now >= until:
                 del self.runners[runner.name]
 
     def usable(self, service: str, now: float) -> list[FleetRunner]:
-        """Return a service's runners that may get work, sound ones first."""
+        """Return a service's usable runners, only confirmed ones if any."""
         found = [
             runner
             for runner in self.runners.values()
             if runner.entry.runner.service == service and runner.is_usable(now)
         ]
-        sound = [r for r in found if r.unconfirmed_until is None]
-        return sound or found
+        confirmed = [r for r in found if r.unconfirmed_until is None]
+        return confirmed or found
 
     def live_runners(self, service: str) -> list[FleetRunner]:
         """Return all runners of a service that are not leaving."""
--- a/libs/ragwort_relay/ragwort_relay/_routes.py
+++ b/libs/ragwort_relay/ragwort_relay/_routes.py
@@ -1,4 +1,4 @@
-"""Routes, services and workspaces that a relay host serves by."""
+"""Configuration of a relay host: routes, services, workspaces, limits."""
 
 import dataclasses
 import enum
@@ -8,11 +8,11 @@
 
 
 class CallKind(enum.StrEnum):
-    """What may be repeated of a call.
+    """Whether a call may be repeated.
 
     REPEATABLE calls may run more than once, ONCE calls at most once. A
-    STREAM may be resumed behind its last event where its route says so and
-    runs at most once otherwise.
+    STREAM runs at most once, unless its route allows it to be resumed
+    after its last event.
     """
 
     REPEATABLE = 'repeatable'
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageSpec:
-    """A stage of a route: its service and the stages it needs results of."""
+    """A stage of a route: its service and the stages it depends on."""
 
     service: str
     after: tuple[int, ...]
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """A class of work as callers address it: by host and path prefix."""
+    """A class of work, which callers address by host and path prefix."""
 
     name: str
     host: str
@@ -63,7 +63,7 @@
         return self.kind == CallKind.REPEATABLE
 
     def service_for(self, request_id: str) -> str:
-        """Return the service for a request, in proportion to the weights."""
+        """Return the service for a request, chosen by hash and weights."""
         total = sum(share.weight for share in self.shares)
         point = model.stable_hash(self.name, request_id) / 2.0**64 * total
         for share in self.shares:
@@ -88,13 +88,13 @@
     result_ttl_s: float
 
     def duration_s(self, pieces: int) -> float:
-        """Return the usual time of a call with so many pieces."""
+        """Return the typical time of a call with some number of pieces."""
         return self.call_overhead_s + pieces * self.per_piece_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service; batch is set if it works on stages."""
+    """A service; batch_limits is set if it runs stages."""
 
     name: str
     batch_limits: BatchLimits | None = None
@@ -102,7 +102,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workspace:
-    """A workspace with its access keys; its rank overrides the route's."""
+    """A workspace and its access keys; its priority overrides a route's."""
 
     name: str
     keys: frozenset[str]
@@ -111,7 +111,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, and how long they may take or stay idle."""
+    """Limits on the size and timing of callers' requests."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -147,16 +147,16 @@
     @functools.cached_property
     def downstream_services(self) -> dict[str, frozenset[str]]:
         """Return the stage services that read each service's results."""
-        following: dict[str, set[str]] = {}
+        downstream: dict[str, set[str]] = {}
         for route in self.routes:
             for spec in route.stages:
                 for needed in spec.after:
-                    before = route.stages[needed].service
-                    following.setdefault(before, set()).add(spec.service)
-        return {name: frozenset(found) for name, found in following.items()}
+                    upstream = route.stages[needed].service
+                    downstream.setdefault(upstream, set()).add(spec.service)
+        return {name: frozenset(found) for name, found in downstream.items()}
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest prefix of the path."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
