--- a/libs/ragwort_relay/ragwort_relay/_budget.py
+++ b/libs/ragwort_relay/ragwort_relay/_budget.py
@@ -1,37 +1,37 @@
-"""Retry budget of a service, shared by all hosts without talking."""
+"""Retry budget of a service, split among hosts without coordination."""
 
 import collections
 
-# Part of the allowance that is used: arrivals are counted at the runners,
-# so a window there may hold a little more than the same window here.
-SAFETY = 0.75
+# Share of the allowance that is used. Runners count repeats on arrival, and
+# a window there may hold a little more of them than the same window here.
+ALLOWANCE_SHARE = 0.75
 
 
 class WindowCounter:
     """Count events within a sliding window of seconds."""
 
     def __init__(self, window_s: float) -> None:
-        """Start with nothing counted."""
+        """Start without events."""
         self.window_s = window_s
         self.times: collections.deque[float] = collections.deque()
 
     def add(self, now: float, count: int = 1) -> None:
-        """Count events at the present time."""
+        """Count events at a time."""
         self.times.extend([now] * count)
 
     def total(self, now: float) -> int:
-        """Return how many events the window holds."""
+        """Return the number of events in the window."""
         while self.times and self.times[0] <= now - self.window_s:
             self.times.popleft()
         return len(self.times)
 
 
 class RetryBudget:
-    """Bound the repeats of calls to each service.
+    """Limit on the repeated calls to each service.
 
     All hosts together may repeat ratio times the requests plus slack in
-    any window. Each host uses its own requests' part and an equal part of
-    the slack, so that no two hosts can spend the same allowance.
+    any window. Each host spends the ratio of its own requests and an equal
+    share of the slack, so that no two hosts spend the same allowance.
     """
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
@@ -46,7 +46,7 @@
         )
 
     def on_host_count(self, count: int, now: float) -> None:
-        """Note how many hosts live; the most in a window share the slack."""
+        """Record the live hosts; the window's maximum splits the slack."""
         counts = self.host_counts
         if counts and counts[-1][1] == count:
             return
@@ -55,11 +55,11 @@
             counts.popleft()
 
     def on_request(self, service: str, now: float, count: int = 1) -> None:
-        """Count first sends of requests to a service."""
+        """Count requests to a service, without their repeats."""
         self._counter(self.requests, service).add(now, count)
 
     def take(self, service: str, now: float, count: int = 1) -> bool:
-        """Take repeats from the budget if it holds them."""
+        """Spend the budget for some repeats; return False if it is short."""
         repeats = self._counter(self.repeats, service)
         if repeats.total(now) + count > self.allowance(service, now):
             return False
@@ -67,10 +67,12 @@
         return True
 
     def allowance(self, service: str, now: float) -> float:
-        """Return the repeats that this host may make in a window."""
+        """Return the number of repeats this host may send in a window."""
         requests = self._counter(self.requests, service).total(now)
         hosts = max((count for _, count in self.host_counts), default=1)
-        return SAFETY * (self.ratio * requests + self.slack / max(hosts, 1))
+        return ALLOWANCE_SHARE * (
+            self.ratio * requests + self.slack / max(hosts, 1)
+        )
 
     def _counter(
         self, counters: dict[str, WindowCounter], service: str
--- a/libs/ragwort_relay/ragwort_relay/_events.py
+++ b/libs/ragwort_relay/ragwort_relay/_events.py
@@ -1,28 +1,28 @@
-"""Cutting a stream of server-sent events into whole events."""
+"""Splitting a stream of server-sent events into complete events."""
 
 import dataclasses
 
 MAX_EVENT_BYTES = 1024 * 1024
-_ENDS = (b'\n\n', b'\r\n\r\n')
+_TERMINATORS = (b'\n\n', b'\r\n\r\n')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """The bytes of one whole event; event_id is None if it has no id."""
+    """The bytes of one complete event; event_id is None if it has no id."""
 
     data: bytes
     event_id: int | None
 
 
 class EventSplitter:
-    """Collect bytes and return the events that are whole.
+    """Buffer bytes and return complete events.
 
-    A runner may stop in the middle of an event; what is not whole is never
-    handed on.
+    A runner may stop in the middle of an event, and an incomplete event
+    must not reach the caller.
     """
 
     def __init__(self) -> None:
-        """Start with nothing read."""
+        """Start with an empty buffer."""
         self.buffer = b''
 
     def feed(self, data: bytes) -> list[StreamEvent]:
@@ -31,19 +31,23 @@
         events: list[StreamEvent] = []
         while (end := _event_end(self.buffer)) > 0:
             chunk, self.buffer = self.buffer[:end], self.buffer[end:]
-            events.append(StreamEvent(chunk, _event_number(chunk)))
+            events.append(StreamEvent(chunk, _event_id(chunk)))
         if len(self.buffer) > MAX_EVENT_BYTES:
             raise ValueError(f'event of over {MAX_EVENT_BYTES} bytes')
         return events
 
 
 def _event_end(data: bytes) -> int:
-    """Return where the first whole event ends, 0 if there is none."""
-    found = [at + len(mark) for mark in _ENDS if (at := data.find(mark)) >= 0]
-    return min(found, default=0)
+    """Return the end of the first complete event, 0 without one."""
+    ends = [
+        at + len(terminator)
+        for terminator in _TERMINATORS
+        if (at := data.find(terminator)) >= 0
+    ]
+    return min(ends, default=0)
 
 
-def _event_number(event: bytes) -> int | None:
+def _event_id(event: bytes) -> int | None:
     for line in event.splitlines():
         if line.startswith(b'id:'):
             text = line[3:].strip()
@@ -52,17 +56,17 @@
 
 
 class StreamProgress:
-    """Remember the last event handed to the caller; drop repeats."""
+    """Track the last event forwarded to the caller; drop repeated ones."""
 
     def __init__(self, last_event_id: int | None) -> None:
-        """Start behind the event that the caller had last, if any."""
+        """Start after the last event that the caller has, if any."""
         self.last_event_id = last_event_id
         self.forwarded = 0
 
     def accept(self, event: StreamEvent) -> bool:
-        """Tell whether an event is the next one for the caller.
+        """Tell whether an event is the next one to forward.
 
-        Raise ValueError if an event is missing before it.
+        Raise ValueError if an event before it is missing.
         """
         if event.event_id is None:
             return True
