--- a/libs/ragwort_policy/ragwort_policy/_attainment.py
+++ b/libs/ragwort_policy/ragwort_policy/_attainment.py
@@ -6,20 +6,20 @@
 
 HALF_LIFE_S = 60.0
 MIN_REQUESTS = 20.0
-MIN_REQUESTS_TO_ECONOMISE = 5.0
-COMFORT_SHARE = 0.5
+MIN_REQUESTS_TO_PREFER_COST = 5.0
+MAX_ERROR_BUDGET_USE = 0.5
 COST_MARGIN = 0.9
 
 
 @dataclasses.dataclass(slots=True)
 class ClassRecord:
-    """Decayed counts of ended requests of one class, and their cost.
+    """Decayed counts and costs of the ended requests of one class.
 
-    stage_costs counts all work by service, wasted_costs the part whose
-    result nobody used.
+    stage_costs sums all work by service, wasted_costs the part whose
+    results were not used. Both and the totals do not decay.
     """
 
-    at: float
+    updated_at: float
     ended: float = 0.0
     attained: float = 0.0
     cost: float = 0.0
@@ -29,10 +29,10 @@
     total_ended: int = 0
     total_attained: int = 0
 
-    def fade(self, now: float) -> None:
-        """Let older counts weigh less."""
-        factor = 0.5 ** ((now - self.at) / HALF_LIFE_S)
-        self.at = now
+    def decay(self, now: float) -> None:
+        """Decay the counts and the cost to the present time."""
+        factor = 0.5 ** ((now - self.updated_at) / HALF_LIFE_S)
+        self.updated_at = now
         self.ended *= factor
         self.attained *= factor
         self.cost *= factor
@@ -50,17 +50,17 @@
 
 
 class AttainmentTracker:
-    """Follow attainment and cost as this node sees them."""
+    """Track attainment and cost of the requests of this node."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without records."""
         self.records: dict[str, ClassRecord] = {}
 
     def record(self, class_of_work: str, now: float) -> ClassRecord:
-        """Return the record of a class, faded to now."""
-        found = self.records.setdefault(class_of_work, ClassRecord(now))
-        found.fade(now)
-        return found
+        """Return the record of a class, decayed to now."""
+        record = self.records.setdefault(class_of_work, ClassRecord(now))
+        record.decay(now)
+        return record
 
     def on_end(
         self, class_of_work: str, completed: bool, in_time: bool, now: float
@@ -82,14 +82,14 @@
         wasted: bool,
         now: float,
     ) -> None:
-        """Count what a stage call cost, in cost units."""
+        """Add the cost of a stage call, in cost units."""
         record = self.record(class_of_work, now)
         record.cost += cost
         costs = record.stage_costs
         costs[service] = costs.get(service, 0.0) + cost
         if wasted:
-            lost = record.wasted_costs
-            lost[service] = lost.get(service, 0.0) + cost
+            wasted_costs = record.wasted_costs
+            wasted_costs[service] = wasted_costs.get(service, 0.0) + cost
 
     def shortfall(self, target: model.Target, name: str, now: float) -> float:
         """Return how far a class is below its target, 0 to 1."""
@@ -101,15 +101,15 @@
     def may_prefer_cost(
         self, target: model.Target, name: str, now: float
     ) -> bool:
-        """Tell whether cost may now weigh more than speed.
+        """Tell whether routing may prefer low cost to speed.
 
         Only for a class whose cost is near or over its target while its
-        misses use up less than half of what the target allows.
+        misses use at most half of its error budget.
         """
         record = self.record(name, now)
-        if record.ended < MIN_REQUESTS_TO_ECONOMISE:
+        if record.ended < MIN_REQUESTS_TO_PREFER_COST:
             return False
         if record.cost_per_request < COST_MARGIN * target.cost:
             return False
-        allowed = 1.0 - target.attainment
-        return 1.0 - record.attainment <= COMFORT_SHARE * allowed
+        error_budget = 1.0 - target.attainment
+        return 1.0 - record.attainment <= MAX_ERROR_BUDGET_USE * error_budget
--- a/libs/ragwort_policy/ragwort_policy/_deadline.py
+++ b/libs/ragwort_policy/ragwort_policy/_deadline.py
@@ -1,4 +1,4 @@
-"""Splitting a deadline over stages and estimating the chance to meet it."""
+"""Stage budgets of a deadline and the probability of meeting it."""
 
 import dataclasses
 import math
@@ -6,17 +6,17 @@
 from ragwort_policy import _latency
 
 BUDGET_QUANTILE = 0.9
-UNKNOWN_STAGE_S = 0.1
+DEFAULT_STAGE_S = 0.1
 MIN_PROBABILITY = 0.05
 MIN_DEVIATION_S = 0.001
-SAFE_DEVIATIONS = 1.0
+UPPER_BOUND_DEVIATIONS = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FinishEstimate:
-    """Expected time to finish (seconds) and the chance to be in time.
+    """Expected time to finish and the probability of meeting the deadline.
 
-    has_enough_samples is False while too few samples exist to refuse anything.
+    Without has_enough_samples nothing may be refused by the estimate.
     """
 
     mean_s: float
@@ -27,7 +27,7 @@
     @property
     def upper_bound_s(self) -> float:
         """Return a time that most such requests do not exceed."""
-        return self.mean_s + SAFE_DEVIATIONS * self.deviation_s
+        return self.mean_s + UPPER_BOUND_DEVIATIONS * self.deviation_s
 
 
 def stage_budget_s(
@@ -37,15 +37,15 @@
     remaining_s: float,
     now: float,
 ) -> float:
-    """Return the share of the remaining time for the first of stages.
+    """Return the part of the remaining time for the first of stages.
 
-    Shares follow learned quantiles; since they are taken anew at each
-    stage, time that one stage leaves over flows to the later ones.
+    The time is split in proportion to latency quantiles. The split is
+    repeated at each stage, so that later stages get unused time.
     """
-    needs = [
+    quantiles = [
         _quantile(latencies, service, class_of_work, now) for service in stages
     ]
-    return remaining_s * needs[0] / sum(needs)
+    return remaining_s * quantiles[0] / sum(quantiles)
 
 
 def _quantile(
@@ -56,7 +56,7 @@
 ) -> float:
     histogram = latencies.find(service, class_of_work, now)
     if histogram is None:
-        return UNKNOWN_STAGE_S
+        return DEFAULT_STAGE_S
     return max(histogram.quantile(BUDGET_QUANTILE), MIN_DEVIATION_S)
 
 
@@ -68,9 +68,9 @@
     remaining_s: float,
     now: float,
 ) -> FinishEstimate:
-    """Estimate the time for stages after queue_wait_s of waiting.
+    """Estimate the time to finish all stages after queue_wait_s of waiting.
 
-    Stage times are summed as independent; the sum is taken as normal.
+    Stage times are assumed independent and their sum normally distributed.
     """
     mean_s = queue_wait_s
     variance = 0.0
--- a/libs/ragwort_policy/ragwort_policy/_latency.py
+++ b/libs/ragwort_policy/ragwort_policy/_latency.py
@@ -1,4 +1,4 @@
-"""Learned latencies: decayed histograms on logarithmic bins."""
+"""Latency statistics: decayed histograms with logarithmic bins."""
 
 import math
 
@@ -11,10 +11,10 @@
 
 
 class DecayedHistogram:
-    """Latencies in seconds whose weight halves every HALF_LIFE_S."""
+    """Histogram of latencies whose weights halve every HALF_LIFE_S."""
 
     def __init__(self, now: float) -> None:
-        """Start empty; now is the landmark of the forward decay."""
+        """Start without samples; now is the landmark of the forward decay."""
         self.bins = [0.0] * BIN_COUNT
         self.landmark = now
         self.weight = 0.0
@@ -25,7 +25,7 @@
         return float(2.0 ** ((now - self.landmark) / HALF_LIFE_S))
 
     def add(self, latency_s: float, now: float) -> None:
-        """Count one latency."""
+        """Add a latency in seconds."""
         scale = self._scale(now)
         if scale > MAX_SCALE:
             self._rebase(now, scale)
@@ -58,12 +58,12 @@
         return max(0.0, self.weighted_squares / self.weight - mean * mean)
 
     def quantile(self, share: float) -> float:
-        """Return the latency below which the given share lies."""
-        wanted = share * self.weight
-        seen = 0.0
+        """Return the latency that a share of the samples does not exceed."""
+        target_weight = share * self.weight
+        cumulative = 0.0
         for index, value in enumerate(self.bins):
-            seen += value
-            if value and seen >= wanted:
+            cumulative += value
+            if value and cumulative >= target_weight:
                 return _upper_edge(index)
         return 0.0
 
@@ -80,7 +80,7 @@
 
 
 class LatencyModel:
-    """Stage latencies by service and class of work, as this node saw them."""
+    """Stage latencies by service and class of work, seen by this node."""
 
     def __init__(self) -> None:
         """Start without samples."""
@@ -90,7 +90,7 @@
     def add(
         self, service: str, class_of_work: str, latency_s: float, now: float
     ) -> None:
-        """Count the latency of one stage."""
+        """Add the latency of one stage."""
         for histogram in (
             self.by_stage.setdefault(
                 (service, class_of_work), DecayedHistogram(now)
