--- a/libs/ragwort_policy/ragwort_policy/_fair_queue.py
+++ b/libs/ragwort_policy/ragwort_policy/_fair_queue.py
@@ -1,4 +1,4 @@
-"""Queue of stage calls: fair between workspaces, most urgent first."""
+"""Queue of stage calls, fair between workspaces, least slack first."""
 
 import dataclasses
 
@@ -9,8 +9,8 @@
 class QueuedCall:
     """A stage call waiting for a runner.
 
-    latest_start is when it must start to have a chance; cost_s its
-    expected work in seconds.
+    latest_start is the latest time to start and still meet the deadline;
+    work_s is the expected work in seconds.
     """
 
     ident: str
@@ -18,26 +18,26 @@
     class_of_work: str
     latest_start: float
     enqueued_at: float
-    cost_s: float
+    work_s: float
 
 
 def is_too_late(call: QueuedCall, now: float) -> bool:
-    """Tell whether a call can no longer be in time."""
+    """Tell whether a call can no longer meet its deadline."""
     return now > call.latest_start
 
 
 class FairQueue:
     """Start-time fair queuing over workspaces.
 
-    A workspace advances its own virtual time by the work it takes, and
-    the one that is furthest behind goes next; within a workspace the call
-    with the least slack goes first, classes below target a little sooner.
+    Each workspace has a start tag in virtual time, which advances by the
+    work of its calls; the lowest tag goes next. Within a workspace the call
+    with the least slack goes first, with a bonus for classes below target.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start with an empty queue."""
         self.calls: dict[str, dict[str, QueuedCall]] = {}
-        self.tags: dict[str, float] = {}
+        self.start_tags: dict[str, float] = {}
         self.virtual_time = 0.0
         self.size = 0
         self.work_s = 0.0
@@ -46,21 +46,21 @@
         """Add a call."""
         waiting = self.calls.setdefault(call.workspace, {})
         if not waiting:
-            tag = self.tags.get(call.workspace, 0.0)
-            self.tags[call.workspace] = max(tag, self.virtual_time)
+            tag = self.start_tags.get(call.workspace, 0.0)
+            self.start_tags[call.workspace] = max(tag, self.virtual_time)
         waiting[call.ident] = call
         self.size += 1
-        self.work_s += call.cost_s
+        self.work_s += call.work_s
 
     def queued(self, workspace: str) -> int:
-        """Return how many calls of a workspace wait."""
+        """Return the number of queued calls of a workspace."""
         return len(self.calls.get(workspace, ()))
 
     def work_ahead_s(self, workspace: str) -> float:
-        """Return the work that goes before a new call of a workspace.
+        """Return the work ahead of a new call of a workspace, in seconds.
 
-        Other workspaces take turns with it, so that the queue of a large
-        one does not count in full.
+        Workspaces take turns, so that a long queue of another workspace
+        does not count in full.
         """
         if not self.size:
             return 0.0
@@ -69,19 +69,21 @@
         return min(self.work_s, turns * typical_s)
 
     def remove(self, ident: str, workspace: str) -> QueuedCall | None:
-        """Take out a call that waits no longer."""
+        """Remove and return a call, None if it is not queued."""
         waiting = self.calls.get(workspace)
         if waiting is None or ident not in waiting:
             return None
         call = waiting.pop(ident)
-        self._shrink(call, waiting)
+        self._on_removed(call, waiting)
         return call
 
     def pop(self, shortfalls: dict[str, float]) -> QueuedCall | None:
-        """Take out the next call; shortfalls is by class of work."""
+        """Remove and return the next call; shortfalls is by class of work."""
         if not self.size:
             return None
-        workspace = min(self.calls, key=lambda name: (self.tags[name], name))
+        workspace = min(
+            self.calls, key=lambda name: (self.start_tags[name], name)
+        )
         waiting = self.calls[workspace]
 
         def urgency(call: QueuedCall) -> tuple[float, float]:
@@ -90,19 +92,19 @@
 
         call = min(waiting.values(), key=urgency)
         del waiting[call.ident]
-        self.virtual_time = self.tags[workspace]
-        self.tags[workspace] += call.cost_s
-        self._shrink(call, waiting)
+        self.virtual_time = self.start_tags[workspace]
+        self.start_tags[workspace] += call.work_s
+        self._on_removed(call, waiting)
         return call
 
-    def _shrink(
+    def _on_removed(
         self, call: QueuedCall, waiting: dict[str, QueuedCall]
     ) -> None:
         self.size -= 1
-        self.work_s = max(0.0, self.work_s - call.cost_s)
+        self.work_s = max(0.0, self.work_s - call.work_s)
         if not waiting:
             del self.calls[call.workspace]
         if not self.size:
-            # An idle queue owes nobody; old tags would only grow in number.
-            self.tags.clear()
+            # Tags of an empty queue have no effect and would accumulate.
+            self.start_tags.clear()
             self.virtual_time = 0.0
--- a/libs/ragwort_policy/ragwort_policy/_retry.py
+++ b/libs/ragwort_policy/ragwort_policy/_retry.py
@@ -1,4 +1,4 @@
-"""Budgets that bound retries and hedges."""
+"""Budgets that limit retries and hedges."""
 
 import dataclasses
 
@@ -11,10 +11,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Budget:
-    """Token bucket that fills by a share of ordinary work.
+    """Token bucket that is filled by ordinary calls.
 
-    When everything fails, extra calls are bounded by ratio times the
-    ordinary calls, so that retries never feed an overload.
+    Even if every call fails, extra calls stay below ratio times the
+    ordinary ones plus the burst, so that retries don't amplify an overload.
     """
 
     ratio: float
@@ -22,7 +22,7 @@
     tokens: float
 
     def on_call(self) -> None:
-        """Add the share of one ordinary call."""
+        """Add the tokens of one ordinary call."""
         self.tokens = min(self.tokens + self.ratio, self.burst)
 
     def take(self) -> bool:
--- a/libs/ragwort_policy/ragwort_policy/_routing.py
+++ b/libs/ragwort_policy/ragwort_policy/_routing.py
@@ -1,7 +1,7 @@
-"""Choosing a runner for a stage call.
+"""Choice of a runner for a stage call.
 
-Strategies are functions in a registry filled by the decorator strategy.
-Each returns a decision that carries its reason as data.
+Strategies are functions that the decorator strategy registers by name. Each
+returns a decision with its reason as data.
 """
 
 from collections.abc import Callable
@@ -19,10 +19,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingContext:
-    """What a strategy may look at besides the runners.
+    """Input of a strategy besides the runners.
 
-    budget_s is the time this stage may take; typical_s the usual time of
-    the service; prefer_cost says that cost matters more than speed now.
+    budget_s is the time this stage may take; typical_s the typical time of
+    the service; prefer_cost says that cost matters more than speed now;
+    turn counts the decisions for the service.
     """
 
     now: float
@@ -37,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """A runner as a strategy weighed it."""
+    """A runner with the estimates that a strategy compared."""
 
     runner: str
     expected_s: float
@@ -47,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingDecision:
-    """The runner chosen, the rule that chose it, and what was weighed."""
+    """The chosen runner, the rule that chose it, and the candidates."""
 
     state: _runners.RunnerState
     rule: str
@@ -62,7 +63,7 @@
 
 
 def strategy(name: str) -> Callable[[Strategy], Strategy]:
-    """Register a strategy under a name that settings may give."""
+    """Register a strategy under its name in settings."""
 
     def register(function: Strategy) -> Strategy:
         STRATEGIES[name] = function
@@ -72,7 +73,7 @@
 
 
 def find_strategy(name: str) -> Strategy:
-    """Return a registered strategy; raise SettingsError."""
+    """Return a registered strategy; raise SettingsError if unknown."""
     found = STRATEGIES.get(name)
     if found is None:
         known = ', '.join(sorted(STRATEGIES))
@@ -86,12 +87,12 @@
 def choose_random(
     runners: Sequence[_runners.RunnerState], context: RoutingContext
 ) -> RoutingDecision:
-    """Choose any runner."""
+    """Choose a runner at random."""
     return RoutingDecision(context.rng.choice(runners), 'random', ())
 
 
 @strategy('round-robin')
-def choose_in_turn(
+def choose_round_robin(
     runners: Sequence[_runners.RunnerState], context: RoutingContext
 ) -> RoutingDecision:
     """Choose each runner in turn."""
@@ -105,8 +106,8 @@
 ) -> RoutingDecision:
     """Choose a runner with the fewest calls of this node in flight."""
     fewest = min(state.inflight for state in runners)
-    equals = [state for state in runners if state.inflight == fewest]
-    chosen = context.rng.choice(equals)
+    least_loaded = [state for state in runners if state.inflight == fewest]
+    chosen = context.rng.choice(least_loaded)
     return RoutingDecision(chosen, 'least-outstanding', ())
 
 
@@ -114,33 +115,35 @@
 def choose_by_estimate(
     runners: Sequence[_runners.RunnerState], context: RoutingContext
 ) -> RoutingDecision:
-    """Weigh a random sample by expected time, or by cost if there is time.
+    """Choose from a random sample by expected time, or by cost if allowed.
 
     Sampling keeps nodes with the same stale reports from all choosing the
-    same runner, and bounds the work of a decision.
+    same runner, and limits the work per decision.
     """
     preferred = _affinity_choice(runners, context)
     if preferred is not None:
-        candidate = _weigh(preferred, context)
+        candidate = _estimate(preferred, context)
         return RoutingDecision(preferred, 'cache-affinity', (candidate,))
     sample = list(runners)
     if len(sample) > SAMPLE_SIZE:
         sample = context.rng.sample(sample, SAMPLE_SIZE)
     else:
         context.rng.shuffle(sample)
-    weighed = [(_weigh(state, context), state) for state in sample]
-    candidates = tuple(candidate for candidate, _ in weighed)
+    pairs = [(_estimate(state, context), state) for state in sample]
+    candidates = tuple(candidate for candidate, _ in pairs)
     if context.prefer_cost:
         limit_s = context.budget_s * BUDGET_SAFETY
-        timely = [pair for pair in weighed if pair[0].expected_s <= limit_s]
+        timely = [pair for pair in pairs if pair[0].expected_s <= limit_s]
         if timely:
             best = min(timely, key=lambda p: (p[0].cost, p[0].expected_s))
             return RoutingDecision(best[1], 'cheapest-in-time', candidates)
-    best = min(weighed, key=lambda pair: pair[0].expected_s)
+    best = min(pairs, key=lambda pair: pair[0].expected_s)
     return RoutingDecision(best[1], 'fastest', candidates)
 
 
-def _weigh(state: _runners.RunnerState, context: RoutingContext) -> Candidate:
+def _estimate(
+    state: _runners.RunnerState, context: RoutingContext
+) -> Candidate:
     expected_s = state.expected_s(context.now, context.typical_s)
     if state.runner.failure_domain != context.failure_domain:
         expected_s += _runners.REMOTE_PENALTY_S
@@ -155,10 +158,10 @@
 def _affinity_choice(
     runners: Sequence[_runners.RunnerState], context: RoutingContext
 ) -> _runners.RunnerState | None:
-    """Return the runner that likely has the prompt prefix cached.
+    """Return the runner that likely has the prompt prefix cached, if any.
 
-    Bounded load: a runner with clearly more calls than the average is
-    passed over, since waiting costs more than the cache saves.
+    A runner with clearly more calls than the average is passed over, since
+    waiting costs more than the cache saves.
     """
     if context.affinity_key is None or context.prefer_cost:
         return None
@@ -167,8 +170,8 @@
     names = model.select_by_rendezvous(context.affinity_key, by_name, 2)
     for name in names:
         state = by_name[name]
-        crowded = state.occupancy(context.now) + 1 > state.slots
+        is_full = state.occupancy(context.now) + 1 > state.slots
         if state.inflight <= AFFINITY_LOAD_FACTOR * average + 1:
-            if not crowded:
+            if not is_full:
                 return state
     return None
--- a/libs/ragwort_policy/ragwort_policy/_subset.py
+++ b/libs/ragwort_policy/ragwort_policy/_subset.py
@@ -1,8 +1,8 @@
-"""Which runners of a service a node uses.
+"""Choice of the runners of a service that a node uses.
 
-Nodes and runners lie on one ring per failure domain. A node takes the
-next runners clockwise and a runner is taken by the next nodes clockwise,
-so that no runner is left out, and a join or loss moves only neighbours.
+Nodes and runners are hashed onto one ring per failure domain. A node uses
+the next runners clockwise, and a runner is used by the next nodes clockwise.
+So every runner is used, and a join or loss affects only neighbours.
 """
 
 import bisect
@@ -20,49 +20,53 @@
     runners: Iterable[model.Runner],
     size: int = RUNNERS_PER_NODE,
 ) -> list[model.Runner]:
-    """Return the runners that node uses; all if there are few."""
+    """Return the runners that a node uses: all of them if there are few."""
     known = sorted(runners, key=lambda runner: runner.name)
     if len(known) <= size:
         return known
     by_domain: dict[str, list[model.Runner]] = {}
     for runner in known:
         by_domain.setdefault(runner.failure_domain, []).append(runner)
-    share = max(1, size // len(by_domain))
+    per_domain = max(1, size // len(by_domain))
     positions = {name: model.stable_hash('ring', name) for name in nodes}
     positions.setdefault(node, model.stable_hash('ring', node))
     chosen: list[model.Runner] = []
     for domain in sorted(by_domain):
-        chosen += _from_ring(node, positions, by_domain[domain], share)
+        chosen += _choose_from_ring(
+            node, positions, by_domain[domain], per_domain
+        )
     return chosen
 
 
-def _from_ring(
+def _choose_from_ring(
     node: str,
     positions: dict[str, int],
     runners: list[model.Runner],
-    share: int,
+    count: int,
 ) -> list[model.Runner]:
     ring = sorted(
         (model.stable_hash('ring', runner.name), runner.name)
         for runner in runners
     )
-    node_ring = sorted((place, name) for name, place in positions.items())
-    own = node_ring.index((positions[node], node))
+    node_ring = sorted(
+        (position, name) for name, position in positions.items()
+    )
+    own_index = node_ring.index((positions[node], node))
     start = bisect.bisect(ring, (positions[node], node))
     names = {
         ring[(start + step) % len(ring)][1]
-        for step in range(min(share, len(ring)))
+        for step in range(min(count, len(ring)))
     }
-    # Runners between the node that many places back and this one.
-    back = node_ring[(own - NODES_PER_RUNNER) % len(node_ring)]
-    everything = len(node_ring) <= NODES_PER_RUNNER
-    for place, name in ring:
-        if everything or _is_between(place, back[0], positions[node]):
+    # Runners between the node NODES_PER_RUNNER positions back and this one.
+    first = node_ring[(own_index - NODES_PER_RUNNER) % len(node_ring)]
+    use_all = len(node_ring) <= NODES_PER_RUNNER
+    for position, name in ring:
+        if use_all or _is_between(position, first[0], positions[node]):
             names.add(name)
     return [runner for runner in runners if runner.name in names]
 
 
-def _is_between(place: int, low: int, high: int) -> bool:
+def _is_between(position: int, low: int, high: int) -> bool:
     if low < high:
-        return low < place <= high
-    return place > low or place <= high
+        return low < position <= high
+    return position > low or position <= high
