--- a/libs/ragwort_policy/ragwort_policy/_outliers.py
+++ b/libs/ragwort_policy/ragwort_policy/_outliers.py
@@ -1,4 +1,4 @@
-"""Ejecting runners that are worse than their peers, and probing them."""
+"""Ejection of runners that perform worse than their peers, and probes."""
 
 from collections.abc import Sequence
 import dataclasses
@@ -8,8 +8,8 @@
 from ragwort_policy import _runners
 
 MIN_CALLS = 5
-FAILURE_SHARE = 0.4
-SLOWNESS = 3.0
+MAX_FAILURE_SHARE = 0.4
+MAX_SLOWNESS = 3.0
 MAX_EJECTED_SHARE = 0.34
 PANIC_SHARE = 0.5
 FIRST_EJECTION_S = 2.0
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ejection:
-    """Decision to send a runner no work but probes until a time."""
+    """Decision to send a runner nothing but probes until a time."""
 
     runner: str
     reason: EjectionReason
@@ -39,14 +39,14 @@
 def is_ejected(state: _runners.RunnerState, now: float) -> bool:
     """Tell whether a runner is out of rotation.
 
-    After its time is over it stays out of ordinary rotation until one
-    probe at a time has gone well.
+    It stays out after its ejection time until a probe succeeds; probes are
+    sent one at a time.
     """
     return state.ejected_until > 0.0
 
 
 def may_probe(state: _runners.RunnerState, now: float) -> bool:
-    """Tell whether an ejected runner may get one request as a probe."""
+    """Tell whether an ejected runner may get a request as a probe."""
     return (
         state.ejected_until > 0.0
         and now >= state.ejected_until
@@ -60,42 +60,44 @@
     peers: Sequence[_runners.RunnerState],
     now: float,
 ) -> Ejection | None:
-    """Decide whether to eject a runner among the peers of its service.
+    """Decide whether to eject a runner from the peers of its service.
 
-    peers includes the runner. When most look bad the fault is more
-    likely ours or the network's, so that nobody is ejected then.
+    peers includes the runner. If most of them look bad, the fault is more
+    likely at this node or in the network, and no runner is ejected.
     """
     if is_ejected(state, now) or state.calls < MIN_CALLS:
         return None
-    bad = [peer for peer in peers if _problem(peer, peers) is not None]
-    if len(bad) > PANIC_SHARE * len(peers):
+    outliers = [
+        peer for peer in peers if _outlier_reason(peer, peers) is not None
+    ]
+    if len(outliers) > PANIC_SHARE * len(peers):
         return None
     ejected = sum(is_ejected(peer, now) for peer in peers)
     if ejected + 1 > max(1.0, MAX_EJECTED_SHARE * len(peers)):
         return None
-    reason = _problem(state, peers)
+    reason = _outlier_reason(state, peers)
     if reason is None or len(peers) < 2:
         return None
-    length_s = FIRST_EJECTION_S * 2.0**state.ejections
+    duration_s = FIRST_EJECTION_S * 2.0**state.ejections
     return Ejection(
         state.runner.name,
         reason,
-        now + min(length_s, MAX_EJECTION_S),
+        now + min(duration_s, MAX_EJECTION_S),
         state.failure_share,
         state.busy_s,
         _peers_busy_s(state, peers),
     )
 
 
-def _problem(
+def _outlier_reason(
     state: _runners.RunnerState, peers: Sequence[_runners.RunnerState]
 ) -> EjectionReason | None:
     if state.calls < MIN_CALLS:
         return None
-    if state.failure_share > FAILURE_SHARE:
+    if state.failure_share > MAX_FAILURE_SHARE:
         return EjectionReason.FAILING
     typical_s = _peers_busy_s(state, peers)
-    if typical_s and state.busy_s > SLOWNESS * typical_s:
+    if typical_s and state.busy_s > MAX_SLOWNESS * typical_s:
         return EjectionReason.SLOW
     return None
 
@@ -108,7 +110,7 @@
 
 
 def eject(state: _runners.RunnerState, ejection: Ejection) -> None:
-    """Put an ejection in force."""
+    """Apply an ejection to a runner's state."""
     state.ejected_until = ejection.until
     state.ejections += 1
     state.probing = False
@@ -121,14 +123,14 @@
     peers: Sequence[_runners.RunnerState],
     now: float,
 ) -> bool:
-    """Take a probe's result; return True if the runner is back."""
+    """Apply a probe's result; return True if the runner is back in use."""
     state.probing = False
     typical_s = _peers_busy_s(state, peers)
-    slow = typical_s > 0.0 and busy_s > SLOWNESS * typical_s
-    if not ok or slow:
+    is_slow = typical_s > 0.0 and busy_s > MAX_SLOWNESS * typical_s
+    if not ok or is_slow:
         state.ejections += 1
-        length_s = FIRST_EJECTION_S * 2.0**state.ejections
-        state.ejected_until = now + min(length_s, MAX_EJECTION_S)
+        duration_s = FIRST_EJECTION_S * 2.0**state.ejections
+        state.ejected_until = now + min(duration_s, MAX_EJECTION_S)
         return False
     state.ejected_until = 0.0
     state.ejections = max(0, state.ejections - 1)
