--- a/libs/ragwort_client/ragwort_client/_client.py
+++ b/libs/ragwort_client/ragwort_client/_client.py
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Progress:
-    """State of one answer across all its http_client."""
+    """State of one answer across all its connections."""
 
     key: str
     started_at: float
@@ -175,7 +175,7 @@
         self.http_client = http.HttpClient(reactor)
 
     def close(self) -> Any:
-        """Close idle http_client."""
+        """Close idle connections."""
         return self.http_client.close()
 
     @defer.inlineCallbacks
--- a/libs/ragwort_wire/ragwort_wire/_frame_check.py
+++ b/libs/ragwort_wire/ragwort_wire/_frame_check.py
@@ -16,7 +16,7 @@
 MAP = 13
 SET = 14
 LIST = 15
-# Size in bytes of fixed_bytes-size values, by thrift type.
+# Size in bytes of values of fixed size, by thrift type.
 FIXED_BYTES = {2: 1, 3: 1, 4: 8, 6: 2, 8: 4, 10: 8}
 # Minimum size in bytes of values of the other types.
 MIN_BYTES = {STRING: 4, STRUCT: 1, MAP: 6, SET: 5, LIST: 5}
