--- a/libs/ragwort_cli/ragwort_cli/_call_commands.py
+++ b/libs/ragwort_cli/ragwort_cli/_call_commands.py
@@ -33,7 +33,7 @@
     """Send a request and print its answer as it comes."""
     nodes = [_options.parse_address(address) for address in node]
     seconds = _options.parse_duration(deadline)
-    streaming = output == _output.OutputForm.TEXT
+    streaming = output == _output.OutputFormat.TEXT
 
     def on_chunk(seq: int, data: str) -> None:
         if streaming:
--- a/libs/ragwort_cli/ragwort_cli/_demo.py
+++ b/libs/ragwort_cli/ragwort_cli/_demo.py
@@ -46,7 +46,7 @@
 
 
 @defer.inlineCallbacks
-def run_demo(reactor: Any, keep: bool, form: _output.OutputForm) -> Any:
+def run_demo(reactor: Any, keep: bool, form: _output.OutputFormat) -> Any:
     """Start a system, send every class of work, report, and stop."""
     system = _system.LocalSystem(reactor)
     yield system.start()
@@ -56,7 +56,7 @@
         )
         for domain in _system.FAILURE_DOMAINS
     ]
-    if form == _output.OutputForm.TEXT:
+    if form == _output.OutputFormat.TEXT:
         yield _show_one_of_each(clients[0])
     run = _load.LoadRun(reactor, clients, demo_plan(RATE, DURATION_S))
     results = yield run.run()
@@ -101,10 +101,10 @@
 def report(
     results: list[_load.ClassResult],
     costs: dict[str, dict[str, float]],
-    form: _output.OutputForm,
+    form: _output.OutputFormat,
 ) -> None:
     """Print attainment by class and cost by stage."""
-    if form == _output.OutputForm.JSON:
+    if form == _output.OutputFormat.JSON:
         summaries = [result.summary() for result in results]
         _output.print_json({'classes': summaries, 'stage_costs': costs})
         return
--- a/libs/ragwort_cli/ragwort_cli/_evidence_commands.py
+++ b/libs/ragwort_cli/ragwort_cli/_evidence_commands.py
@@ -49,7 +49,7 @@
 ) -> None:
     """Print all runs with what they were for."""
     entries = _journal.read_journal(journal)
-    if output == _output.OutputForm.JSON:
+    if output == _output.OutputFormat.JSON:
         _output.print_json(
             [{'id': e.id, 'site': e.site, 'why': e.why} for e in entries]
         )
@@ -61,7 +61,7 @@
             entry.cmd,
             entry.site or '-',
             len(entry.days),
-            _output.number(entry.score),
+            _output.format_number(entry.score),
             entry.why or '-',
         ]
         for entry in entries
--- a/libs/ragwort_cli/ragwort_cli/_lab_commands.py
+++ b/libs/ragwort_cli/ragwort_cli/_lab_commands.py
@@ -42,7 +42,7 @@
     """Play a load on stage work under each rule and print the figures."""
     experiment = lab.read_experiment(file)
     played = lab.play_experiment(experiment)
-    if output == _output.OutputForm.JSON:
+    if output == _output.OutputFormat.JSON:
         _output.print_json([_record(one) for one in played])
     else:
         _output.print_table(HEADINGS, [_row(one) for one in played])
--- a/libs/ragwort_cli/ragwort_cli/_main.py
+++ b/libs/ragwort_cli/ragwort_cli/_main.py
@@ -59,7 +59,7 @@
     typer.Option('--name', help='Which of the file\'s several settings.'),
 ]
 OutputOption = Annotated[
-    _output.OutputForm,
+    _output.OutputFormat,
     typer.Option('--output', help='How to print the data.'),
 ]
 
@@ -123,7 +123,7 @@
     verbose: Annotated[
         bool, typer.Option('--verbose', help='Show the decision log.')
     ] = False,
-    output: OutputOption = _output.OutputForm.TEXT,
+    output: OutputOption = _output.OutputFormat.TEXT,
 ) -> None:
     """Run a whole system on loopback and show what it attains."""
     node.configure_logs()
--- a/libs/ragwort_cli/ragwort_cli/_options.py
+++ b/libs/ragwort_cli/ragwort_cli/_options.py
@@ -20,18 +20,18 @@
     typer.Option(
         '--node',
         envvar='RAGWORT_NODES',
-        help='Address of any entry node; may be given several times.',
+        help='Address of an entry node; may be given several times.',
     ),
 ]
 OutputOption = Annotated[
-    _output.OutputForm,
-    typer.Option('--output', help='How to print the data.'),
+    _output.OutputFormat,
+    typer.Option('--output', help='Output format.'),
 ]
-TEXT = _output.OutputForm.TEXT
+TEXT = _output.OutputFormat.TEXT
 
 
 def parse_address(address: str) -> str:
-    """Return an address; raise InvalidInputError."""
+    """Return a valid address; raise InvalidInputError."""
     try:
         return model.parse_address(address)
     except ValueError as error:
@@ -39,7 +39,7 @@
 
 
 def parse_duration(text: str) -> float:
-    """Return seconds; raise InvalidInputError."""
+    """Return a duration in seconds; raise InvalidInputError."""
     try:
         return model.parse_duration(text)
     except ValueError as error:
--- a/libs/ragwort_cli/ragwort_cli/_output.py
+++ b/libs/ragwort_cli/ragwort_cli/_output.py
@@ -1,4 +1,4 @@
-"""Printing of results as text tables or JSON."""
+"""Output of results as text tables, Markdown or JSON."""
 
 from collections.abc import Sequence
 import enum
@@ -8,8 +8,8 @@
 import typer
 
 
-class OutputForm(enum.StrEnum):
-    """How a command prints its data."""
+class OutputFormat(enum.StrEnum):
+    """Format in which a command prints its data."""
 
     TEXT = 'text'
     JSON = 'json'
@@ -46,6 +46,6 @@
         typer.echo('| ' + ' | '.join(str(cell) for cell in row) + ' |')
 
 
-def number(value: float | None, digits: int = 3) -> str:
-    """Return a number as text, a dash for None."""
+def format_number(value: float | None, digits: int = 3) -> str:
+    """Return a number as text, or a dash for None."""
     return '-' if value is None else f'{value:.{digits}f}'
--- a/libs/ragwort_cli/ragwort_cli/_status_commands.py
+++ b/libs/ragwort_cli/ragwort_cli/_status_commands.py
@@ -27,7 +27,7 @@
     answer = _loop.run_command(
         lambda reactor: _operator.fetch_json(reactor, nodes[0], path)
     )
-    if output == _output.OutputForm.JSON:
+    if output == _output.OutputFormat.JSON:
         _output.print_json(answer)
         return
     rows = [
@@ -47,7 +47,7 @@
             reactor, nodes, lambda: '/v1/status'
         )
     )
-    if output == _output.OutputForm.JSON:
+    if output == _output.OutputFormat.JSON:
         _output.print_json(statuses)
         return
     _print_nodes(statuses)
@@ -117,9 +117,9 @@
             [
                 name,
                 int(ended),
-                _output.number(share),
+                _output.format_number(share),
                 target['attainment'],
-                _output.number(per_request, 4),
+                _output.format_number(per_request, 4),
                 target['cost'],
             ]
         )
@@ -155,7 +155,7 @@
         raise model.RequestError(f'no node knows the key {key}')
 
     decisions = _loop.run_command(search)
-    if output == _output.OutputForm.JSON:
+    if output == _output.OutputFormat.JSON:
         _output.print_json(decisions)
         return
     for line in _explain.explain_lines(decisions):
--- a/libs/ragwort_cli/ragwort_cli/_target_commands.py
+++ b/libs/ragwort_cli/ragwort_cli/_target_commands.py
@@ -54,7 +54,7 @@
             _operator.StoreSession(reactor, address)
         )
     )
-    if output == _output.OutputForm.JSON:
+    if output == _output.OutputFormat.JSON:
         _output.print_json(contents)
         return
     _output.print_table(TARGET_HEADINGS, _target_rows(contents))
@@ -79,7 +79,7 @@
 ) -> None:
     """Print one target."""
     content = _read_one(platform, name)
-    if output == _output.OutputForm.JSON:
+    if output == _output.OutputFormat.JSON:
         _output.print_json(content)
         return
     _output.print_table(TARGET_HEADINGS, _target_rows([content]))
@@ -94,7 +94,7 @@
     """Print a class's present and earlier targets, newest first."""
     content = _read_one(platform, name)
     records = [content, *content.get('history', [])]
-    if output == _output.OutputForm.JSON:
+    if output == _output.OutputFormat.JSON:
         _output.print_json(records)
         return
     rows = [
@@ -147,9 +147,9 @@
 
 
 def _print_version(
-    name: str, verb: str, version: int, output: _output.OutputForm
+    name: str, verb: str, version: int, output: _output.OutputFormat
 ) -> None:
-    if output == _output.OutputForm.JSON:
+    if output == _output.OutputFormat.JSON:
         _output.print_json({'class': name, 'version': version})
         return
     typer.echo(f'{name}: {verb} as version {version}')
@@ -195,7 +195,7 @@
 ) -> None:
     """Check a settings file and list what it describes."""
     described = model.load_settings(path)
-    if output == _output.OutputForm.JSON:
+    if output == _output.OutputFormat.JSON:
         _output.print_json([s.model_dump(mode='json') for s in described])
         return
     for found in described:
