--- a/libs/ragwort_cli/ragwort_cli/_call_commands.py
+++ b/libs/ragwort_cli/ragwort_cli/_call_commands.py
@@ -1,4 +1,4 @@
-"""Commands that send requests and load."""
+"""Commands that send single requests or a load."""
 
 import pathlib
 from typing import Annotated
@@ -24,15 +24,17 @@
     workspace: str,
     text: Annotated[str, typer.Argument(help='Input of the request.')],
     node: _options.NodeOption,
-    deadline: Annotated[str, typer.Option(help='Such as 8s.')] = '8s',
+    deadline: Annotated[
+        str, typer.Option(help='Time allowed, such as 8s.')
+    ] = '8s',
     key: Annotated[
-        str | None, typer.Option(help='A UUIDv7; made if not given.')
+        str | None, typer.Option(help='A UUIDv7; generated if not given.')
     ] = None,
     output: _options.OutputOption = _options.TEXT,
 ) -> None:
-    """Send a request and print its answer as it comes."""
+    """Send a request and print its answer as it arrives."""
     nodes = [_options.parse_address(address) for address in node]
-    seconds = _options.parse_duration(deadline)
+    deadline_s = _options.parse_duration(deadline)
     streaming = output == _output.OutputFormat.TEXT
 
     def on_chunk(seq: int, data: str) -> None:
@@ -42,7 +44,7 @@
     def send(reactor: Any) -> 'defer.Deferred[caller.Answer]':
         client = caller.Client(reactor, nodes)
         sent: defer.Deferred[caller.Answer] = client.send(
-            class_of_work, workspace, text, seconds, key, on_chunk
+            class_of_work, workspace, text, deadline_s, key, on_chunk
         )
         return sent
 
@@ -66,9 +68,9 @@
         )
         return
     typer.echo('')
-    remark = f': {answer.reason}' if answer.reason else ''
+    suffix = f': {answer.reason}' if answer.reason else ''
     typer.echo(
-        f'{answer.outcome}{remark} ({answer.duration_s * 1000:.0f} ms, '
+        f'{answer.outcome}{suffix} ({answer.duration_s * 1000:.0f} ms, '
         f'key {answer.key})',
         err=True,
     )
@@ -79,16 +81,18 @@
     rate: Annotated[float, typer.Option(help='Arrivals per second.')] = 20.0,
     duration: Annotated[str, typer.Option(help='Such as 10s.')] = '10s',
     burst: Annotated[
-        float, typer.Option(help='Rate factor in 1 s of every 5 s.')
+        float, typer.Option(help='Rate factor during 1 s of every 5 s.')
     ] = 1.0,
     mix: Annotated[
         list[str] | None,
-        typer.Option(help='CLASS=SHARE; several make a mix.'),
+        typer.Option(help='CLASS=SHARE; may be given several times.'),
     ] = None,
     workspace: Annotated[
         list[str] | None, typer.Option(help='Workspaces to send as.')
     ] = None,
-    deadline: Annotated[str, typer.Option(help='Such as 8s.')] = '8s',
+    deadline: Annotated[
+        str, typer.Option(help='Time allowed, such as 8s.')
+    ] = '8s',
     seed: Annotated[int, typer.Option(help='Seed of the arrivals.')] = 1,
     json_form: Annotated[
         bool, typer.Option('--json', help='Print JSON.')
@@ -125,7 +129,7 @@
     if json_form:
         _output.print_json([result.summary() for result in results])
         return
-    print_load(results)
+    print_results(results)
 
 
 def _load_classes(
@@ -137,21 +141,23 @@
     for item in mix:
         name, _, share = item.partition('=')
         try:
-            number = float(share or '1')
+            weight = float(share or '1')
         except ValueError:
-            number = -1.0
-        if not number > 0:
+            weight = -1.0
+        if not weight > 0:
             raise model.InvalidInputError(
-                f'--mix {item!r}: write CLASS=SHARE with a share above 0'
+                f'--mix {item!r}: expected CLASS=SHARE with a share above 0'
             )
         if not workspaces:
-            raise model.InvalidInputError('give --workspace with --mix')
-        classes.append(_load.LoadClass(name, number, deadline_s, workspaces))
+            raise model.InvalidInputError(
+                '--mix needs at least one --workspace'
+            )
+        classes.append(_load.LoadClass(name, weight, deadline_s, workspaces))
     return tuple(classes)
 
 
-def print_load(results: list[_load.ClassResult]) -> None:
-    """Print the figures of a load run as a table."""
+def print_results(results: list[_load.ClassResult]) -> None:
+    """Print the results of a load run as a table."""
     rows = []
     for result in results:
         summary = result.summary()
--- a/libs/ragwort_cli/ragwort_cli/_demo.py
+++ b/libs/ragwort_cli/ragwort_cli/_demo.py
@@ -1,4 +1,4 @@
-"""The demo: a whole system, its main job, and a report."""
+"""The demo: a complete local system under load, with a summary."""
 
 import json
 from typing import Any
@@ -14,9 +14,9 @@
 import ragwort_model as model
 import ragwort_node as node
 
-RATE = 40.0
+ARRIVALS_PER_S = 40.0
 DURATION_S = 5.0
-SHARES = {
+CLASS_SHARES = {
     'morning-briefing': 0.15,
     'tide-question': 0.3,
     'safety-notice': 0.1,
@@ -27,7 +27,7 @@
 
 
 def demo_plan(rate: float, duration_s: float) -> _load.LoadPlan:
-    """Return the mix of all sample classes."""
+    """Return a load plan that mixes all sample classes."""
     targets = _system.sample_class_targets()
     classes = tuple(
         _load.LoadClass(
@@ -40,14 +40,16 @@
                 else fakes.CAMPBELL_WORKSPACES
             ),
         )
-        for name, share in SHARES.items()
+        for name, share in CLASS_SHARES.items()
     )
     return _load.LoadPlan(classes, rate, duration_s)
 
 
 @defer.inlineCallbacks
-def run_demo(reactor: Any, keep: bool, form: _output.OutputFormat) -> Any:
-    """Start a system, send every class of work, report, and stop."""
+def run_demo(
+    reactor: Any, keep: bool, output_format: _output.OutputFormat
+) -> Any:
+    """Start a system, send every class of work and print the results."""
     system = _system.LocalSystem(reactor)
     yield system.start()
     clients = [
@@ -56,23 +58,25 @@
         )
         for domain in _system.FAILURE_DOMAINS
     ]
-    if form == _output.OutputFormat.TEXT:
-        yield _show_one_of_each(clients[0])
-    run = _load.LoadRun(reactor, clients, demo_plan(RATE, DURATION_S))
+    if output_format == _output.OutputFormat.TEXT:
+        yield _send_one_of_each(clients[0])
+    run = _load.LoadRun(
+        reactor, clients, demo_plan(ARRIVALS_PER_S, DURATION_S)
+    )
     results = yield run.run()
     costs = stage_costs(system.nodes)
-    report(results, costs, form)
-    check_whole(results, system)
+    print_report(results, costs, output_format)
+    check_results(results, system)
     if keep:
         print_curl(system)
         yield defer.Deferred()
 
 
 @defer.inlineCallbacks
-def _show_one_of_each(client: caller.Client) -> Any:
+def _send_one_of_each(client: caller.Client) -> Any:
     typer.echo('One request of each class of work, streamed:')
     targets = _system.sample_class_targets()
-    for index, name in enumerate(SHARES):
+    for index, name in enumerate(CLASS_SHARES):
         workspace = _system.workspace_for(name, index)
         answer = yield client.send(
             name, workspace, f'hello {name}', targets[name].deadline_s
@@ -88,7 +92,7 @@
 def stage_costs(
     nodes: list[node.NodeDaemon],
 ) -> dict[str, dict[str, float]]:
-    """Return cost by class of work and service, all nodes together."""
+    """Return cost by class of work and service, summed over all nodes."""
     totals: dict[str, dict[str, float]] = {}
     for daemon in nodes:
         for status in daemon.core.status(daemon.now()).classes:
@@ -98,13 +102,13 @@
     return totals
 
 
-def report(
+def print_report(
     results: list[_load.ClassResult],
     costs: dict[str, dict[str, float]],
-    form: _output.OutputFormat,
+    output_format: _output.OutputFormat,
 ) -> None:
     """Print attainment by class and cost by stage."""
-    if form == _output.OutputFormat.JSON:
+    if output_format == _output.OutputFormat.JSON:
         summaries = [result.summary() for result in results]
         _output.print_json({'classes': summaries, 'stage_costs': costs})
         return
@@ -141,20 +145,22 @@
     )
 
 
-def check_whole(
+def check_results(
     results: list[_load.ClassResult], system: _system.LocalSystem
 ) -> None:
-    """Raise RagwortError if a promise was broken during the demo."""
-    executed: dict[str, int] = {}
+    """Raise RagwortError if a key ran twice or no request was in time."""
+    executions: dict[str, int] = {}
     for runner in system.runners:
         if runner.settings.service == 'registrar':
             for key, _, _ in runner.core.executed:
-                executed[key] = executed.get(key, 0) + 1
-    doubled = [key for key, count in executed.items() if count > 1]
-    if doubled:
-        raise model.RagwortError(f'run more than once: {doubled}')
+                executions[key] = executions.get(key, 0) + 1
+    repeated = [key for key, count in executions.items() if count > 1]
+    if repeated:
+        raise model.RagwortError(
+            f'requests that ran more than once: {repeated}'
+        )
     if not sum(result.in_time for result in results):
-        raise model.RagwortError('no request was completed')
+        raise model.RagwortError('no request was completed in time')
 
 
 def print_curl(system: _system.LocalSystem) -> None:
@@ -169,7 +175,7 @@
         'input': 'When is high tide at Hydrobase?',
     }
     typer.echo('')
-    typer.echo('The system stays up; stop it with Ctrl-C. Try:')
+    typer.echo('The system keeps running; stop it with Ctrl-C. Try:')
     typer.echo(f'  curl -s http://{address}/v1/addresses')
     typer.echo(
         f'  curl -sN http://{address}/v1/requests -d \'{json.dumps(body)}\''
--- a/libs/ragwort_cli/ragwort_cli/_evidence_commands.py
+++ b/libs/ragwort_cli/ragwort_cli/_evidence_commands.py
@@ -1,4 +1,4 @@
-"""Commands that read the journal of bench runs and the logs."""
+"""Commands that read the journal of bench runs and host logs."""
 
 import pathlib
 from typing import Annotated
@@ -14,16 +14,16 @@
 
 journal_app = typer.Typer(help='Read the journal of bench runs.')
 JournalOption = Annotated[
-    pathlib.Path, typer.Option('--journal', help='Folder of the journal.')
+    pathlib.Path, typer.Option('--journal', help='Directory of the journal.')
 ]
 JOURNAL = pathlib.Path('journal')
 COMPARE_HEADINGS = (
     'day',
-    'worth of first',
-    'of second',
+    'first worth',
+    'second worth',
     'change',
-    'served in first',
-    'in second',
+    'first served',
+    'second served',
     'rules broken',
 )
 
@@ -47,11 +47,14 @@
     journal: JournalOption = JOURNAL,
     output: _options.OutputOption = _options.TEXT,
 ) -> None:
-    """Print all runs with what they were for."""
+    """List all runs with their purpose."""
     entries = _journal.read_journal(journal)
     if output == _output.OutputFormat.JSON:
         _output.print_json(
-            [{'id': e.id, 'site': e.site, 'why': e.why} for e in entries]
+            [
+                {'id': entry.id, 'site': entry.site, 'why': entry.why}
+                for entry in entries
+            ]
         )
         return
     rows = [
@@ -75,13 +78,13 @@
     run: str,
     journal: JournalOption = JOURNAL,
     prices: Annotated[
-        int, typer.Option(help='How many of the largest prices.')
+        int, typer.Option(help='How many of the largest prices to print.')
     ] = 3,
     markdown: Annotated[
         bool, typer.Option('--markdown', help='Print a Markdown table.')
     ] = False,
 ) -> None:
-    """Print the days of one run with their marks, classes and prices."""
+    """Print each day of a run with its worths, classes and prices."""
     entry = _journal.find_entry(_journal.read_journal(journal), run)
     rows = _journal.show_rows(entry, prices)
     if markdown:
@@ -99,18 +102,18 @@
         pathlib.Path | None, typer.Option(help='Write a PNG of both runs.')
     ] = None,
 ) -> None:
-    """Print two runs side by side, day by day."""
+    """Compare two runs day by day."""
     entries = _journal.read_journal(journal)
-    one = _journal.find_entry(entries, first)
-    two = _journal.find_entry(entries, second)
-    rows = _journal.compare_rows(one, two)
+    first_entry = _journal.find_entry(entries, first)
+    second_entry = _journal.find_entry(entries, second)
+    rows = _journal.compare_rows(first_entry, second_entry)
     if not rows:
         raise model.InvalidInputError(
             f'runs {first} and {second} have no day in common'
         )
     _output.print_table(COMPARE_HEADINGS, rows)
     if plot is not None:
-        _plot.plot_runs(one, two, plot)
+        _plot.plot_runs(first_entry, second_entry, plot)
 
 
 def follow(
@@ -119,9 +122,9 @@
         list[pathlib.Path], typer.Argument(help='Log files of hosts.')
     ],
 ) -> None:
-    """Print everything that hosts logged about a request, in order."""
+    """Print the log lines of a request from all hosts, in time order."""
     lines = _logs.request_lines(logs, request)
     if not lines:
-        raise model.RequestError(f'no log has a line about {request!r}')
+        raise model.RequestError(f'no log line is about request {request!r}')
     for line in lines:
-        typer.echo(line.text())
+        typer.echo(line.to_text())
--- a/libs/ragwort_cli/ragwort_cli/_lab_commands.py
+++ b/libs/ragwort_cli/ragwort_cli/_lab_commands.py
@@ -1,4 +1,4 @@
-"""Commands that play experiments in virtual time."""
+"""Commands that run experiments in virtual time."""
 
 import pathlib
 from typing import Annotated
@@ -10,13 +10,13 @@
 from ragwort_cli import _plot
 import ragwort_lab as lab
 
-lab_app = typer.Typer(help='Play experiments in virtual time.')
+lab_app = typer.Typer(help='Run experiments in virtual time.')
 HEADINGS = (
     'rule',
     'asked',
     'in target',
     'made',
-    'pieces a call',
+    'pieces per call',
     'turned away',
     'no room',
     'in target by size',
@@ -26,7 +26,7 @@
 
 @lab_app.callback()
 def lab_group() -> None:
-    """Play experiments in virtual time."""
+    """Run experiments in virtual time."""
 
 
 @lab_app.command('replay')
@@ -39,21 +39,23 @@
         pathlib.Path | None, typer.Option(help='Write a PNG of all rules.')
     ] = None,
 ) -> None:
-    """Play a load on stage work under each rule and print the figures."""
+    """Replay a load of stage work under each rule and print the results."""
     experiment = lab.read_experiment(file)
-    played = lab.play_experiment(experiment)
+    results = lab.play_experiment(experiment)
     if output == _output.OutputFormat.JSON:
-        _output.print_json([_record(one) for one in played])
+        _output.print_json([_result_record(result) for result in results])
     else:
-        _output.print_table(HEADINGS, [_row(one) for one in played])
+        _output.print_table(
+            HEADINGS, [_result_row(result) for result in results]
+        )
     if plot is not None:
-        _plot.plot_rules(experiment.name, played, plot)
+        _plot.plot_rules(experiment.name, results, plot)
 
 
-def _record(one: lab.RuleFigures) -> dict[str, object]:
-    figures = one.figures
+def _result_record(result: lab.RuleFigures) -> dict[str, object]:
+    figures = result.figures
     return {
-        'rule': one.rule,
+        'rule': result.rule,
         'asked': figures.asked,
         'in_target': figures.share_in_target,
         'made': figures.made / max(figures.asked, 1),
@@ -65,14 +67,14 @@
     }
 
 
-def _row(one: lab.RuleFigures) -> list[object]:
+def _result_row(result: lab.RuleFigures) -> list[object]:
     return [
-        _cell(value) if isinstance(value, dict | float) else value
-        for value in _record(one).values()
+        _format_cell(value) if isinstance(value, dict | float) else value
+        for value in _result_record(result).values()
     ]
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, dict):
         return ' '.join(f'{k}:{share:.2f}' for k, share in value.items())
     return f'{value:.3f}'
--- a/libs/ragwort_cli/ragwort_cli/_load.py
+++ b/libs/ragwort_cli/ragwort_cli/_load.py
@@ -14,12 +14,12 @@
 MAX_LATENCY_MS = 3_600_000
 SIGNIFICANT_DIGITS = 3
 BURST_LENGTH_S = 1.0
-BURST_EVERY_S = 5.0
+BURST_PERIOD_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadClass:
-    """One class of work in the mix; share is its part of the arrivals."""
+    """One class of work in the mix; share is its weight in the arrivals."""
 
     name: str
     share: float
@@ -29,12 +29,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """Arrivals per second over a duration (s); bursts multiply the rate."""
+    """Arrivals per second over a duration; bursts multiply the rate."""
 
     classes: tuple[LoadClass, ...]
     rate: float
     duration_s: float
-    burst: float = 1.0
+    burst_factor: float = 1.0
     seed: int = 1
 
 
@@ -42,14 +42,14 @@
     """Outcomes and latencies of one class of work."""
 
     def __init__(self, name: str) -> None:
-        """Start empty."""
+        """Start without answers."""
         self.name = name
         self.outcomes: dict[str, int] = {}
         self.in_time = 0
-        self.latency = histogram.HdrHistogram(
+        self.latency_ms = histogram.HdrHistogram(
             1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS
         )
-        self.first_chunk = histogram.HdrHistogram(
+        self.first_chunk_ms = histogram.HdrHistogram(
             1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS
         )
 
@@ -60,10 +60,10 @@
         if answer.outcome != model.Outcome.COMPLETED:
             return
         self.in_time += answer.duration_s <= deadline_s
-        self.latency.record_value(max(1, int(answer.duration_s * 1000)))
+        self.latency_ms.record_value(max(1, int(answer.duration_s * 1000)))
         if answer.first_chunk_s is not None:
             first_ms = max(1, int(answer.first_chunk_s * 1000))
-            self.first_chunk.record_value(first_ms)
+            self.first_chunk_ms.record_value(first_ms)
 
     @property
     def total(self) -> int:
@@ -76,16 +76,18 @@
         return self.in_time / self.total if self.total else 0.0
 
     def summary(self) -> dict[str, Any]:
-        """Return the figures of a report; times in milliseconds."""
+        """Return the values of a report; times in milliseconds."""
         return {
             'class': self.name,
             'requests': self.total,
             'outcomes': dict(sorted(self.outcomes.items())),
             'attainment': round(self.attainment, 4),
-            'p50_ms': self.latency.get_value_at_percentile(50),
-            'p95_ms': self.latency.get_value_at_percentile(95),
-            'p99_ms': self.latency.get_value_at_percentile(99),
-            'first_chunk_p95_ms': self.first_chunk.get_value_at_percentile(95),
+            'p50_ms': self.latency_ms.get_value_at_percentile(50),
+            'p95_ms': self.latency_ms.get_value_at_percentile(95),
+            'p99_ms': self.latency_ms.get_value_at_percentile(99),
+            'first_chunk_p95_ms': self.first_chunk_ms.get_value_at_percentile(
+                95
+            ),
         }
 
 
@@ -94,8 +96,8 @@
     times: list[float] = []
     at = 0.0
     while True:
-        in_burst = at % BURST_EVERY_S < BURST_LENGTH_S
-        rate = plan.rate * (plan.burst if in_burst else 1.0)
+        in_burst = at % BURST_PERIOD_S < BURST_LENGTH_S
+        rate = plan.rate * (plan.burst_factor if in_burst else 1.0)
         at += rng.expovariate(rate)
         if at >= plan.duration_s:
             return times
@@ -108,7 +110,7 @@
     def __init__(
         self, reactor: Any, clients: Sequence[caller.Client], plan: LoadPlan
     ) -> None:
-        """Bind clients, which take turns, to a plan."""
+        """Prepare a run whose requests use the clients in rotation."""
         self.reactor = reactor
         self.clients = clients
         self.plan = plan
@@ -128,20 +130,23 @@
 
     def _send_at(self, at: float, index: int) -> 'defer.Deferred[None]':
         shares = [c.share for c in self.plan.classes]
-        chosen = self.rng.choices(self.plan.classes, shares)[0]
-        workspace = self.rng.choice(chosen.workspaces)
+        load_class = self.rng.choices(self.plan.classes, shares)[0]
+        workspace = self.rng.choice(load_class.workspaces)
         client = self.clients[index % len(self.clients)]
-        finished: defer.Deferred[None] = defer.Deferred()
+        answered: defer.Deferred[None] = defer.Deferred()
 
-        def begin() -> None:
+        def send() -> None:
             sent = client.send(
-                chosen.name, workspace, f'question {index}', chosen.deadline_s
+                load_class.name,
+                workspace,
+                f'question {index}',
+                load_class.deadline_s,
             )
-            sent.addCallback(self._on_answer, chosen)
-            sent.addCallbacks(finished.callback, finished.errback)
+            sent.addCallback(self._on_answer, load_class)
+            sent.addCallbacks(answered.callback, answered.errback)
 
-        self.reactor.callLater(at, begin)
-        return finished
+        self.reactor.callLater(at, send)
+        return answered
 
-    def _on_answer(self, answer: caller.Answer, chosen: LoadClass) -> None:
-        self.results[chosen.name].add(answer, chosen.deadline_s)
+    def _on_answer(self, answer: caller.Answer, load_class: LoadClass) -> None:
+        self.results[load_class.name].add(answer, load_class.deadline_s)
--- a/libs/ragwort_cli/ragwort_cli/_plot.py
+++ b/libs/ragwort_cli/ragwort_cli/_plot.py
@@ -12,7 +12,7 @@
 def plot_latencies(
     results: list[_load.ClassResult], path: pathlib.Path
 ) -> None:
-    """Write latency against percentile for each class as a PNG."""
+    """Plot latency against percentile for each class as a PNG."""
     import matplotlib
 
     matplotlib.use('Agg')
@@ -21,7 +21,7 @@
     figure, axes = pyplot.subplots(figsize=(7, 4))
     for result in results:
         values = [
-            result.latency.get_value_at_percentile(p) for p in PERCENTILES
+            result.latency_ms.get_value_at_percentile(p) for p in PERCENTILES
         ]
         axes.plot([str(p) for p in PERCENTILES], values, label=result.name)
     axes.set_xlabel('percentile')
@@ -36,21 +36,21 @@
     second: _journal.JournalEntry,
     path: pathlib.Path,
 ) -> None:
-    """Write the worth of each day in two runs as a PNG."""
+    """Plot the worth of each day in two runs as a PNG."""
     import matplotlib
 
     matplotlib.use('Agg')
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(8, 4))
-    others = {day.name: day for day in second.days}
-    names = [day.name for day in first.days if day.name in others]
+    second_days = {day.name: day for day in second.days}
+    names = [day.name for day in first.days if day.name in second_days]
     width = 0.4
     for offset, entry in ((0.0, first), (width, second)):
         days = {day.name: day for day in entry.days}
-        places = [index + offset for index in range(len(names))]
+        positions = [index + offset for index in range(len(names))]
         heights = [days[name].worth or 0.0 for name in names]
-        axes.bar(places, heights, width, label=entry.id)
+        axes.bar(positions, heights, width, label=entry.id)
     axes.set_xticks([i + width / 2 for i in range(len(names))], names)
     axes.set_ylabel('worth')
     axes.legend()
@@ -59,18 +59,18 @@
 
 
 def plot_rules(
-    name: str, played: list[lab.RuleFigures], path: pathlib.Path
+    name: str, results: list[lab.RuleFigures], path: pathlib.Path
 ) -> None:
-    """Write the share in target by size for each rule as a PNG."""
+    """Plot the share in target by size for each rule as a PNG."""
     import matplotlib
 
     matplotlib.use('Agg')
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(7, 4))
-    for one in played:
-        shares = one.figures.share_by(lab.SIZE)
-        axes.plot(list(shares), list(shares.values()), 'o-', label=one.rule)
+    for result in results:
+        shares = result.figures.share_by(lab.SIZE)
+        axes.plot(list(shares), list(shares.values()), 'o-', label=result.rule)
     axes.set_title(name)
     axes.set_xlabel('pieces of a request')
     axes.set_ylabel('share in target')
