--- a/libs/ragwort_cli/ragwort_cli/_loop.py
+++ b/libs/ragwort_cli/ragwort_cli/_loop.py
@@ -12,23 +12,23 @@
 def run_command(action: Callable[[Any], 'defer.Deferred[Any]']) -> Any:
     """Run the reactor until action's Deferred fires; return its result.
 
-    An error of the action is raised here.
+    An error of the action is raised again.
     """
     reactor = peers.monotonic_reactor()
-    outcome: list[Any] = []
+    results: list[Any] = []
 
-    def begin() -> None:
+    def start_action() -> None:
         started = defer.maybeDeferred(action, reactor)
         started.addBoth(finish)
 
     def finish(result: Any) -> None:
-        outcome.append(result)
+        results.append(result)
         reactor.callLater(0, reactor.stop)
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(start_action)
     reactor.run(installSignalHandlers=True)
-    if not outcome:
+    if not results:
         raise KeyboardInterrupt
-    if isinstance(outcome[0], failure.Failure):
-        outcome[0].raiseException()
-    return outcome[0]
+    if isinstance(results[0], failure.Failure):
+        results[0].raiseException()
+    return results[0]
--- a/libs/ragwort_cli/ragwort_cli/_main.py
+++ b/libs/ragwort_cli/ragwort_cli/_main.py
@@ -26,8 +26,8 @@
 
 app = typer.Typer(
     help=(
-        'Serve multi-stage model pipelines and look after them. Exit codes: '
-        '0 done, 1 failed, 2 invalid input, 3 a request was not completed.'
+        'Serve and operate multi-stage model pipelines. Exit codes: '
+        '0 success, 1 failure, 2 invalid input, 3 request not completed.'
     ),
     no_args_is_help=True,
     add_completion=False,
@@ -56,25 +56,27 @@
 ]
 NameOption = Annotated[
     str | None,
-    typer.Option('--name', help='Which of the file\'s several settings.'),
+    typer.Option(
+        '--name', help='Name of the settings to use, if the file has several.'
+    ),
 ]
 OutputOption = Annotated[
     _output.OutputFormat,
-    typer.Option('--output', help='How to print the data.'),
+    typer.Option('--output', help='Output format.'),
 ]
 
 
-def _select(
+def _load_settings(
     path: pathlib.Path, kind: str, name: str | None
 ) -> model.DaemonSettings:
-    found = model.load_settings(path)
-    return model.select_settings(found, kind, name, str(path))
+    settings = model.load_settings(path)
+    return model.select_settings(settings, kind, name, str(path))
 
 
 @app.command('node')
 def run_node(settings: SettingsOption, name: NameOption = None) -> None:
     """Run an entry node until SIGTERM, which drains it."""
-    chosen = _select(settings, 'node', name)
+    chosen = _load_settings(settings, 'node', name)
     assert isinstance(chosen, model.NodeSettings)
     node.configure_logs()
 
@@ -89,8 +91,8 @@
 
 @app.command('platform')
 def run_platform(settings: SettingsOption, name: NameOption = None) -> None:
-    """Run the stand-in of the platform's object API."""
-    chosen = _select(settings, 'platform', name)
+    """Run a fake of the platform's object API."""
+    chosen = _load_settings(settings, 'platform', name)
     assert isinstance(chosen, model.PlatformSettings)
 
     def run(reactor: Any) -> 'defer.Deferred[None]':
@@ -102,8 +104,8 @@
 
 @app.command('runner')
 def run_runner(settings: SettingsOption, name: NameOption = None) -> None:
-    """Run a stand-in runner until SIGTERM, which drains it."""
-    chosen = _select(settings, 'runner', name)
+    """Run a fake runner until SIGTERM, which drains it."""
+    chosen = _load_settings(settings, 'runner', name)
     assert isinstance(chosen, model.RunnerSettings)
 
     def run(reactor: Any) -> 'defer.Deferred[None]':
@@ -118,14 +120,15 @@
 @app.command()
 def demo(
     keep: Annotated[
-        bool, typer.Option('--keep', help='Stay up and print curl lines.')
+        bool,
+        typer.Option('--keep', help='Keep running and print curl commands.'),
     ] = False,
     verbose: Annotated[
         bool, typer.Option('--verbose', help='Show the decision log.')
     ] = False,
     output: OutputOption = _output.OutputFormat.TEXT,
 ) -> None:
-    """Run a whole system on loopback and show what it attains."""
+    """Run a complete system on loopback and show its attainment."""
     node.configure_logs()
     if not verbose:
         silence_logs()
@@ -133,33 +136,33 @@
 
 
 def silence_logs() -> None:
-    """Let only warnings through."""
+    """Drop log lines below the warning level."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(30)
     )
 
 
 def main() -> None:
-    """Run the command line; print errors in one plain line."""
+    """Run the command line; print an error as one line."""
     try:
         code = app(standalone_mode=False)
     except model.InvalidInputError as error:
-        _exit(str(error), EXIT_INVALID)
+        _exit_with_error(str(error), EXIT_INVALID)
     except model.RagwortError as error:
-        _exit(str(error), EXIT_FAILED)
+        _exit_with_error(str(error), EXIT_FAILED)
     except (KeyboardInterrupt, typer.Abort):
         sys.exit(EXIT_FAILED)
     except OSError as error:
-        _exit(str(error), EXIT_FAILED)
+        _exit_with_error(str(error), EXIT_FAILED)
     except Exception as error:
-        # Usage errors of the command line know how to show themselves.
+        # Usage errors of the command line format their own message.
         if not hasattr(error, 'format_message'):
             raise
-        _exit(error.format_message(), EXIT_INVALID)
+        _exit_with_error(error.format_message(), EXIT_INVALID)
     else:
         sys.exit(code or 0)
 
 
-def _exit(message: str, code: int) -> None:
+def _exit_with_error(message: str, code: int) -> None:
     typer.echo(f'ragwortworks: {message}', err=True)
     sys.exit(code)
--- a/libs/ragwort_cli/ragwort_cli/_operator.py
+++ b/libs/ragwort_cli/ragwort_cli/_operator.py
@@ -1,4 +1,4 @@
-"""What operators do: look at and change targets, look at nodes."""
+"""Operator actions: read and change targets, query nodes."""
 
 from collections.abc import Callable
 import datetime
@@ -15,50 +15,52 @@
 import ragwort_node as node
 import ragwort_state as state
 
-MAX_TRIES = 12
-PAUSE_S = 0.3
-TIMEOUT_S = 5.0
+MAX_ATTEMPTS = 12
+RETRY_DELAY_S = 0.3
+REQUEST_TIMEOUT_S = 5.0
 
 
 class StoreSession:
-    """Calls to the platform's object API, one after the other."""
+    """Sequential calls to the platform's object API."""
 
     def __init__(self, reactor: Any, platform: str) -> None:
         """Bind to the platform's address."""
         self.reactor = reactor
-        self.waiting: dict[str, defer.Deferred[model.StoreResult]] = {}
+        self.pending: dict[str, defer.Deferred[model.StoreResult]] = {}
         self.client = node.StoreClient(
             reactor, http.HttpClient(reactor), platform, self._on_result
         )
 
     def _on_result(self, result: model.StoreResult) -> None:
-        self.waiting.pop(result.op).callback(result)
+        self.pending.pop(result.op).callback(result)
 
     def call(
         self, call: model.StoreCall
     ) -> 'defer.Deferred[model.StoreResult]':
         """Send a call and fire with its result."""
-        answered: defer.Deferred[model.StoreResult] = defer.Deferred()
-        self.waiting[call.op] = answered
+        finished: defer.Deferred[model.StoreResult] = defer.Deferred()
+        self.pending[call.op] = finished
         self.client.call(call)
-        return answered
+        return finished
 
     def get(self, name: str) -> 'defer.Deferred[model.StoreResult]':
         """Read an object."""
-        return self.call(_call(model.StoreVerb.GET, name))
+        return self.call(_store_call(model.StoreVerb.GET, name))
 
     def list(self, prefix: str) -> 'defer.Deferred[model.StoreResult]':
         """Read all objects whose names begin with prefix."""
-        return self.call(_call(model.StoreVerb.LIST, prefix))
+        return self.call(_store_call(model.StoreVerb.LIST, prefix))
 
     def put(
         self, name: str, value: str, version: int
     ) -> 'defer.Deferred[model.StoreResult]':
         """Write an object if it still has the expected version."""
-        return self.call(_call(model.StoreVerb.PUT, name, value, version))
+        return self.call(
+            _store_call(model.StoreVerb.PUT, name, value, version)
+        )
 
 
-def _call(
+def _store_call(
     verb: model.StoreVerb,
     name: str,
     value: str | None = None,
@@ -67,50 +69,50 @@
     return model.StoreCall(uuid.uuid4().hex, verb, name, value, version)
 
 
-def class_name(name: str) -> str:
+def class_object_name(name: str) -> str:
     """Return the object name of a class of work."""
     return f'{state.CONFIG_PREFIX}class/{name}'
 
 
-def pause(reactor: Any) -> 'defer.Deferred[None]':
-    """Fire after a short while."""
-    passed: defer.Deferred[None] = defer.Deferred()
-    reactor.callLater(PAUSE_S, passed.callback, None)
-    return passed
+def wait_to_retry(reactor: Any) -> 'defer.Deferred[None]':
+    """Fire after the delay between attempts."""
+    elapsed: defer.Deferred[None] = defer.Deferred()
+    reactor.callLater(RETRY_DELAY_S, elapsed.callback, None)
+    return elapsed
 
 
 @defer.inlineCallbacks
 def read_class(session: StoreSession, name: str) -> Any:
-    """Return the stored class of work, trying while the store is down."""
-    for _ in range(MAX_TRIES):
-        result = yield session.get(class_name(name))
+    """Return the stored class of work; retry while the store is down."""
+    for _ in range(MAX_ATTEMPTS):
+        result = yield session.get(class_object_name(name))
         if result.status == model.StoreStatus.OK:
             return result.objects[0]
         if result.status == model.StoreStatus.NOT_FOUND:
             raise model.ConfigurationError(f'no class of work {name!r}')
-        yield pause(session.reactor)
+        yield wait_to_retry(session.reactor)
     raise model.StoreUnavailableError('the platform\'s store does not answer')
 
 
 @defer.inlineCallbacks
 def read_classes(session: StoreSession) -> Any:
     """Return the contents of all classes of work."""
-    result = yield session.list(class_name(''))
+    result = yield session.list(class_object_name(''))
     if result.status != model.StoreStatus.OK:
         raise model.StoreUnavailableError(
-            f'the platform\'s store answers {result.status}'
+            f'the platform\'s store answered {result.status}'
         )
     return [json.loads(item.value) for item in result.objects]
 
 
 @defer.inlineCallbacks
 def set_target(
-    reactor: Any, platform: str, name: str, wanted: dict[str, float]
+    reactor: Any, platform: str, name: str, new_fields: dict[str, float]
 ) -> Any:
     """Change fields of a target; return the version that holds them.
 
     Raises TargetConflictError if another operator changed the same field
-    meanwhile. A lost answer is resolved by reading the object again.
+    meanwhile. A lost response is resolved by reading the object again.
     """
     session = StoreSession(reactor, platform)
     stored = yield read_class(session, name)
@@ -120,20 +122,21 @@
         uuid.uuid4().hex,
         datetime.datetime.now(datetime.UTC).isoformat(timespec='seconds'),
         state.parse_target(stored.value),
-        wanted,
+        new_fields,
     )
-    for _ in range(MAX_TRIES):
+    for _ in range(MAX_ATTEMPTS):
         if state.is_applied(change, stored.value):
             return stored.version
         merged = state.apply_change(change, stored.value)
-        result = yield session.put(class_name(name), merged, stored.version)
+        result = yield session.put(
+            class_object_name(name), merged, stored.version
+        )
         if result.status == model.StoreStatus.OK:
             return result.revision
-        yield pause(reactor)
+        yield wait_to_retry(reactor)
         stored = yield read_class(session, name)
     raise model.StoreUnavailableError(
-        'the change could not be confirmed; look at the target before '
-        'trying again'
+        'the change could not be confirmed; check the target before retrying'
     )
 
 
@@ -155,29 +158,33 @@
     text = json.dumps(content, sort_keys=True)
     model.parse_document(f'class/{name}', text)
     session = StoreSession(reactor, platform)
-    known = yield session.get(f'{state.CONFIG_PREFIX}pipeline/{pipeline}')
-    if known.status == model.StoreStatus.NOT_FOUND:
+    pipeline_result = yield session.get(
+        f'{state.CONFIG_PREFIX}pipeline/{pipeline}'
+    )
+    if pipeline_result.status == model.StoreStatus.NOT_FOUND:
         raise model.ConfigurationError(f'no pipeline {pipeline!r}')
-    result = yield session.put(class_name(name), text, 0)
+    result = yield session.put(class_object_name(name), text, 0)
     if result.status == model.StoreStatus.CONFLICT:
-        raise model.ConfigurationError(f'class of work {name!r} exists')
+        raise model.ConfigurationError(
+            f'class of work {name!r} already exists'
+        )
     if result.status != model.StoreStatus.OK:
         raise model.StoreUnavailableError(
-            f'the platform\'s store answers {result.status}; look whether '
-            'the class exists before trying again'
+            f'the platform\'s store answered {result.status}; check whether '
+            'the class exists before retrying'
         )
     return result.revision
 
 
 @defer.inlineCallbacks
 def fetch_json(reactor: Any, address: str, path: str) -> Any:
-    """Return what a node answers to a GET, as decoded JSON."""
-    connections = http.HttpClient(reactor)
+    """Return a node's decoded JSON response to a GET."""
+    http_client = http.HttpClient(reactor)
     url = f'http://{address}{path}'
-    asked = connections.request(b'GET', url, fresh=True)
-    asked.addTimeout(TIMEOUT_S, reactor)
+    sent = http_client.request(b'GET', url, fresh=True)
+    sent.addTimeout(REQUEST_TIMEOUT_S, reactor)
     try:
-        response = yield asked
+        response = yield sent
         body = yield client.readBody(response)
     except Exception as error:
         raise model.RequestError(
@@ -193,8 +200,8 @@
 def fetch_from_all(
     reactor: Any, nodes: list[str], path: Callable[[], str]
 ) -> Any:
-    """Return the answers of all nodes that the first living one lists."""
-    entries = yield fetch_entries(reactor, nodes)
+    """Return the responses of all nodes that the first live node lists."""
+    entries = yield fetch_entry_addresses(reactor, nodes)
     answers: list[Any] = []
     for entry in entries:
         try:
@@ -206,13 +213,15 @@
 
 
 @defer.inlineCallbacks
-def fetch_entries(reactor: Any, nodes: list[str]) -> Any:
-    """Return the entry addresses that the first living node lists."""
-    problem: Exception = model.RequestError('give --node ADDRESS')
+def fetch_entry_addresses(reactor: Any, nodes: list[str]) -> Any:
+    """Return the entry addresses that the first live node lists."""
+    last_error: Exception = model.RequestError(
+        'no node given; use --node ADDRESS'
+    )
     for address in nodes:
         try:
             answer = yield fetch_json(reactor, address, '/v1/addresses')
             return answer['addresses']
         except model.RequestError as error:
-            problem = error
-    raise problem
+            last_error = error
+    raise last_error
--- a/libs/ragwort_cli/ragwort_cli/_status_commands.py
+++ b/libs/ragwort_cli/ragwort_cli/_status_commands.py
@@ -1,4 +1,4 @@
-"""Commands that show nodes, targets attained and decisions."""
+"""Commands that show nodes, attainment and decisions."""
 
 from typing import Annotated
 from typing import Any
@@ -31,8 +31,8 @@
         _output.print_json(answer)
         return
     rows = [
-        [e['host'], e['address'], e['failure_domain']]
-        for e in answer['addresses']
+        [entry['host'], entry['address'], entry['failure_domain']]
+        for entry in answer['addresses']
     ]
     _output.print_table(('host', 'address', 'failure domain'), rows)
 
@@ -40,7 +40,7 @@
 def show_status(
     node: _options.NodeOption, output: _options.OutputOption = _options.TEXT
 ) -> None:
-    """Print nodes, versions in force, attainment and runners."""
+    """Print nodes, versions in force, attainment and missed targets."""
     nodes = [_options.parse_address(address) for address in node]
     statuses = _loop.run_command(
         lambda reactor: _operator.fetch_from_all(
@@ -68,19 +68,26 @@
         ]
         for status in statuses
     ]
-    headings = ('node', 'state', 'sees nodes', 'open requests', 'remark')
+    headings = ('node', 'state', 'known nodes', 'open requests', 'detail')
     _output.print_table(headings, rows)
     typer.echo('')
 
 
 def _print_versions(statuses: list[dict[str, Any]]) -> None:
-    """Print each object's versions, and where nodes differ."""
-    views = [s['in_force'] for s in statuses if 'in_force' in s]
-    names = sorted({name for view in views for name in view})
+    """Print the newest version, and the objects that differ by node."""
+    versions_per_node = [s['in_force'] for s in statuses if 'in_force' in s]
+    names = sorted(
+        {name for in_force in versions_per_node for name in in_force}
+    )
     differing = [
-        name for name in names if len({view.get(name) for view in views}) > 1
+        name
+        for name in names
+        if len({in_force.get(name) for in_force in versions_per_node}) > 1
     ]
-    newest = max((max(view.values(), default=0) for view in views), default=0)
+    newest = max(
+        (max(in_force.values(), default=0) for in_force in versions_per_node),
+        default=0,
+    )
     typer.echo(
         f'{len(names)} configuration objects, newest version {newest}; '
         f'{len(differing)} not yet the same on all nodes'
@@ -94,7 +101,7 @@
         typer.echo(f'  {name}: {versions}')
     for status in statuses:
         for name, problem in status.get('problems', {}).items():
-            typer.echo(f'  {status["name"]}: {name} kept back: {problem}')
+            typer.echo(f'  {status["name"]}: {name} not applied: {problem}')
     typer.echo('')
 
 
@@ -128,7 +135,7 @@
         'ended',
         'attained',
         'target',
-        'cost each',
+        'cost per request',
         'cost target',
     )
     _output.print_table(headings, rows)
@@ -139,22 +146,22 @@
     node: _options.NodeOption,
     output: _options.OutputOption = _options.TEXT,
 ) -> None:
-    """Print every decision on a request, in order, in plain words."""
+    """Print and explain every decision on a request, in order."""
     nodes = [_options.parse_address(address) for address in node]
 
     @defer.inlineCallbacks
-    def search(reactor: Any) -> Any:
-        entries = yield _operator.fetch_entries(reactor, nodes)
+    def fetch_decisions(reactor: Any) -> Any:
+        entries = yield _operator.fetch_entry_addresses(reactor, nodes)
         path = f'/v1/requests/{key}/explain'
-        for address in [e['address'] for e in entries]:
+        for address in [entry['address'] for entry in entries]:
             try:
-                found = yield _operator.fetch_json(reactor, address, path)
+                response = yield _operator.fetch_json(reactor, address, path)
             except model.RequestError:
                 continue
-            return found
+            return response
         raise model.RequestError(f'no node knows the key {key}')
 
-    decisions = _loop.run_command(search)
+    decisions = _loop.run_command(fetch_decisions)
     if output == _output.OutputFormat.JSON:
         _output.print_json(decisions)
         return
--- a/libs/ragwort_cli/ragwort_cli/_system.py
+++ b/libs/ragwort_cli/ragwort_cli/_system.py
@@ -1,4 +1,4 @@
-"""A whole system on loopback inside one process, for demo and load."""
+"""A complete system on loopback in one process, for demo and load."""
 
 from collections.abc import Sequence
 import random
@@ -21,41 +21,45 @@
     'generator': 40,
     'registrar': 10,
 }
-READY_CHECK_S = 0.05
+READY_CHECK_INTERVAL_S = 0.05
 READY_TIMEOUT_S = 15.0
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return loopback addresses that nothing listens on now."""
+    """Return loopback addresses whose ports are free now."""
     sockets = [socket.socket() for _ in range(count)]
     try:
-        for item in sockets:
-            item.bind(('127.0.0.1', 0))
+        for listener in sockets:
+            listener.bind(('127.0.0.1', 0))
         return [f'127.0.0.1:{s.getsockname()[1]}' for s in sockets]
     finally:
-        for item in sockets:
-            item.close()
+        for listener in sockets:
+            listener.close()
 
 
 class LocalSystem:
-    """Stand-in platform, runners of five services, and entry nodes."""
+    """Fake platform, fake runners of five services, and entry nodes."""
 
     def __init__(self, reactor: Any, node_count: int = NODE_COUNT) -> None:
-        """Create everything; nothing listens yet."""
+        """Create all servers without starting them."""
         self.reactor = reactor
         runner_count = RUNNERS_PER_SERVICE * len(fakes.SERVICES)
         addresses = free_addresses(1 + runner_count + 2 * node_count)
         self.platform_address = addresses.pop()
-        self.runners = self._runners(addresses)
-        self.platform = fakes.PlatformServer(reactor, self._platform())
-        self.nodes = self._nodes(addresses, node_count)
+        self.runners = self._create_runners(addresses)
+        self.platform = fakes.PlatformServer(
+            reactor, self._platform_settings()
+        )
+        self.nodes = self._create_nodes(addresses, node_count)
 
-    def _runners(self, addresses: list[str]) -> list[fakes.RunnerServer]:
+    def _create_runners(
+        self, addresses: list[str]
+    ) -> list[fakes.RunnerServer]:
         rng = random.Random(1)
         servers: list[fakes.RunnerServer] = []
         for service, content in fakes.SERVICES.items():
             for index in range(RUNNERS_PER_SERVICE):
-                spread = rng.uniform(0.8, 1.2)
+                time_factor = rng.uniform(0.8, 1.2)
                 settings = model.RunnerSettings.model_validate(
                     {
                         'kind': 'runner',
@@ -67,7 +71,7 @@
                             index % len(FAILURE_DOMAINS)
                         ],
                         'service_time': (
-                            f'{SERVICE_TIMES_MS[service] * spread:.1f}ms'
+                            f'{SERVICE_TIMES_MS[service] * time_factor:.1f}ms'
                         ),
                         'cost_rate': 1.0 if index % 2 else 0.6,
                     }
@@ -75,7 +79,7 @@
                 servers.append(fakes.RunnerServer(self.reactor, settings))
         return servers
 
-    def _platform(self) -> model.PlatformSettings:
+    def _platform_settings(self) -> model.PlatformSettings:
         runners: fakes.Objects = {
             server.settings.name: {
                 'service': server.settings.service,
@@ -99,7 +103,7 @@
             }
         )
 
-    def _nodes(
+    def _create_nodes(
         self, addresses: list[str], count: int
     ) -> list[node.NodeDaemon]:
         callers = [addresses.pop() for _ in range(count)]
@@ -125,35 +129,40 @@
 
     @property
     def entry_addresses(self) -> list[str]:
-        """Return the callers' addresses of all nodes."""
+        """Return the addresses on which the nodes serve callers."""
         return [daemon.settings.callers for daemon in self.nodes]
 
     def start(self) -> 'defer.Deferred[None]':
-        """Listen everywhere and fire once every node serves."""
+        """Start all servers; fire once every node is serving."""
         self.platform.start()
         for runner in self.runners:
             runner.start()
         for daemon in self.nodes:
             daemon.start()
         ready: defer.Deferred[None] = defer.Deferred()
-        give_up_at = self.reactor.seconds() + READY_TIMEOUT_S
-        self._check_ready(ready, give_up_at)
+        ready_deadline = self.reactor.seconds() + READY_TIMEOUT_S
+        self._check_ready(ready, ready_deadline)
         return ready
 
     def _check_ready(
-        self, ready: 'defer.Deferred[None]', give_up_at: float
+        self, ready: 'defer.Deferred[None]', ready_deadline: float
     ) -> None:
         states = [daemon.core.state for daemon in self.nodes]
         members = [len(daemon.core.addresses('', '')) for daemon in self.nodes]
         serving = all(s == node.NodeState.SERVING for s in states)
         if serving and min(members) == len(self.nodes):
             ready.callback(None)
-        elif self.reactor.seconds() >= give_up_at:
-            error = model.RagwortError(f'nodes are not ready: {states}')
+        elif self.reactor.seconds() >= ready_deadline:
+            error = model.RagwortError(
+                f'nodes are not ready in time, states: {states}'
+            )
             ready.errback(error)
         else:
             self.reactor.callLater(
-                READY_CHECK_S, self._check_ready, ready, give_up_at
+                READY_CHECK_INTERVAL_S,
+                self._check_ready,
+                ready,
+                ready_deadline,
             )
 
 
--- a/libs/ragwort_cli/ragwort_cli/_target_commands.py
+++ b/libs/ragwort_cli/ragwort_cli/_target_commands.py
@@ -13,12 +13,12 @@
 from ragwort_cli import _output
 import ragwort_model as model
 
-target_app = typer.Typer(help='Look at and change targets.')
-class_app = typer.Typer(help='Look at and create classes of work.')
+target_app = typer.Typer(help='Show and change targets.')
+class_app = typer.Typer(help='Show and create classes of work.')
 settings_app = typer.Typer(help='Check settings files.')
 
 
-def _target_rows(contents: list[dict[str, Any]]) -> list[list[object]]:
+def _target_rows(classes: list[dict[str, Any]]) -> list[list[object]]:
     return [
         [
             item['name'],
@@ -28,7 +28,7 @@
             item['target']['cost'],
             item.get('changed_by') or '-',
         ]
-        for item in contents
+        for item in classes
     ]
 
 
@@ -49,18 +49,18 @@
 ) -> None:
     """Print the target of every class of work."""
     address = _options.parse_address(platform)
-    contents = _loop.run_command(
+    classes = _loop.run_command(
         lambda reactor: _operator.read_classes(
             _operator.StoreSession(reactor, address)
         )
     )
     if output == _output.OutputFormat.JSON:
-        _output.print_json(contents)
+        _output.print_json(classes)
         return
-    _output.print_table(TARGET_HEADINGS, _target_rows(contents))
+    _output.print_table(TARGET_HEADINGS, _target_rows(classes))
 
 
-def _read_one(platform: str, name: str) -> dict[str, Any]:
+def _read_target(platform: str, name: str) -> dict[str, Any]:
     address = _options.parse_address(platform)
     stored = _loop.run_command(
         lambda reactor: _operator.read_class(
@@ -78,7 +78,7 @@
     output: _options.OutputOption = _options.TEXT,
 ) -> None:
     """Print one target."""
-    content = _read_one(platform, name)
+    content = _read_target(platform, name)
     if output == _output.OutputFormat.JSON:
         _output.print_json(content)
         return
@@ -91,8 +91,8 @@
     platform: _options.PlatformOption,
     output: _options.OutputOption = _options.TEXT,
 ) -> None:
-    """Print a class's present and earlier targets, newest first."""
-    content = _read_one(platform, name)
+    """Print the current and earlier targets of a class, newest first."""
+    content = _read_target(platform, name)
     records = [content, *content.get('history', [])]
     if output == _output.OutputFormat.JSON:
         _output.print_json(records)
@@ -123,25 +123,27 @@
         str | None, typer.Option(help='Time allowed, such as 800ms or 8s.')
     ] = None,
     cost: Annotated[
-        float | None, typer.Option(help='Most to spend per request, units.')
+        float | None, typer.Option(help='Maximum cost per request, in units.')
     ] = None,
     output: _options.OutputOption = _options.TEXT,
 ) -> None:
-    """Change a target; fields that are not given stay as they are."""
-    wanted: dict[str, float] = {}
+    """Change a target; fields that are not given keep their values."""
+    new_fields: dict[str, float] = {}
     if attainment is not None:
-        wanted['attainment'] = attainment
+        new_fields['attainment'] = attainment
     if deadline is not None:
-        wanted['deadline_s'] = _options.parse_duration(deadline)
+        new_fields['deadline_s'] = _options.parse_duration(deadline)
     if cost is not None:
-        wanted['cost'] = cost
-    if not wanted:
+        new_fields['cost'] = cost
+    if not new_fields:
         raise model.InvalidInputError(
             'give at least one of --attainment, --deadline, --cost'
         )
     address = _options.parse_address(platform)
     version = _loop.run_command(
-        lambda reactor: _operator.set_target(reactor, address, name, wanted)
+        lambda reactor: _operator.set_target(
+            reactor, address, name, new_fields
+        )
     )
     _print_version(name, 'accepted', version, output)
 
@@ -169,9 +171,16 @@
     name: str,
     platform: _options.PlatformOption,
     pipeline: Annotated[str, typer.Option(help='Name of its pipeline.')],
-    attainment: Annotated[float, typer.Option(help='Share, 0 to 1.')],
-    deadline: Annotated[str, typer.Option(help='Such as 800ms or 8s.')],
-    cost: Annotated[float, typer.Option(help='Units per request.')],
+    attainment: Annotated[
+        float,
+        typer.Option(help='Share of requests to complete in time, 0 to 1.'),
+    ],
+    deadline: Annotated[
+        str, typer.Option(help='Time allowed, such as 800ms or 8s.')
+    ],
+    cost: Annotated[
+        float, typer.Option(help='Maximum cost per request, in units.')
+    ],
     output: _options.OutputOption = _options.TEXT,
 ) -> None:
     """Create a class of work with its target."""
@@ -194,9 +203,9 @@
     path: pathlib.Path, output: _options.OutputOption = _options.TEXT
 ) -> None:
     """Check a settings file and list what it describes."""
-    described = model.load_settings(path)
+    settings = model.load_settings(path)
     if output == _output.OutputFormat.JSON:
-        _output.print_json([s.model_dump(mode='json') for s in described])
+        _output.print_json([s.model_dump(mode='json') for s in settings])
         return
-    for found in described:
-        typer.echo(f'{path}: {found.kind} {found.name}: valid')
+    for entry in settings:
+        typer.echo(f'{path}: {entry.kind} {entry.name}: valid')
