--- a/libs/ragwort_fakes/ragwort_fakes/__init__.py
+++ b/libs/ragwort_fakes/ragwort_fakes/__init__.py
@@ -15,11 +15,11 @@
 from ragwort_fakes._samples import CAMPBELL_WORKSPACES
 from ragwort_fakes._samples import HOULE_CLASSES
 from ragwort_fakes._samples import HOULE_WORKSPACES
-from ragwort_fakes._samples import named
 from ragwort_fakes._samples import Objects
 from ragwort_fakes._samples import PIPELINES
 from ragwort_fakes._samples import sample_objects
 from ragwort_fakes._samples import SERVICES
+from ragwort_fakes._samples import with_name
 
 __all__ = [
     'CAMPBELL_CLASSES',
@@ -27,7 +27,6 @@
     'expected_answer',
     'HOULE_CLASSES',
     'HOULE_WORKSPACES',
-    'named',
     'Objects',
     'PIPELINES',
     'PlatformCore',
@@ -42,4 +41,5 @@
     'SERVICES',
     'stage_chunks',
     'WatchAnswer',
+    'with_name',
 ]
--- a/libs/ragwort_fakes/ragwort_fakes/_platform.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_platform.py
@@ -236,7 +236,7 @@
             return self._ok(watch.call, changed)
         return None
 
-    def forget(self, caller: str) -> None:
+    def drop_watches(self, caller: str) -> None:
         """Drop the watches of a caller that is gone."""
         self.watches = [w for w in self.watches if w.caller != caller]
 
--- a/libs/ragwort_fakes/ragwort_fakes/_platform_http.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_platform_http.py
@@ -51,7 +51,9 @@
         self.open: dict[str, server.Request] = {}
         self.counter = itertools.count()
         for name, content in settings.objects.items():
-            text = json.dumps(_samples.named(name, content), sort_keys=True)
+            text = json.dumps(
+                _samples.with_name(name, content), sort_keys=True
+            )
             model.parse_document(name, text)
             self.core.put(CONFIG_PREFIX + name, text)
 
@@ -91,7 +93,7 @@
 
     def _on_gone(self, caller: str) -> None:
         self.open.pop(caller, None)
-        self.core.forget(caller)
+        self.core.drop_watches(caller)
 
     def _write(
         self, request: server.Request, result: model.StoreResult
--- a/libs/ragwort_fakes/ragwort_fakes/_runner.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_runner.py
@@ -71,13 +71,13 @@
 class RunnerReply:
     """A record to send on the connection of a call.
 
-    broken means that the connection ends here instead.
+    aborts_connection means that the connection ends here instead.
     """
 
     connection: str
     attempt: str
     record: wire.ResultRecord | None
-    broken: bool = False
+    aborts_connection: bool = False
 
 
 class RunnerCore:
@@ -90,7 +90,7 @@
         self.name = name
         self.shape = shape
         self.rng = rng
-        self.waiting: dict[str, _Call] = {}
+        self.queued: dict[str, _Call] = {}
         self.running: dict[str, _Call] = {}
         self.events: list[tuple[float, int, str, str]] = []
         self.counter = itertools.count()
@@ -134,7 +134,9 @@
         self.draining = False
         self.state_version = max(self.state_version + 1, int(now * 1000))
 
-    def order(self, order: model.RunnerOrder, now: float, wall: float) -> bool:
+    def apply_order(
+        self, order: model.RunnerOrder, now: float, wall: float
+    ) -> bool:
         """Take a placement order; return False if it is refused."""
         if wall > order.expires_wall:
             return False
@@ -158,7 +160,7 @@
             self.report_at = now
             self.report = wire.LoadRecord(
                 len(self.running),
-                len(self.waiting),
+                len(self.queued),
                 self.shape.slots,
                 0.0,
                 self.draining,
@@ -184,7 +186,7 @@
         if self._hits(RunnerFault.SILENT_CONNECTION):
             self.silent.add(connection)
             return []
-        full = len(self.waiting) >= QUEUE_PER_SLOT * self.shape.slots
+        full = len(self.queued) >= QUEUE_PER_SLOT * self.shape.slots
         unloaded = not self.is_loaded(now)
         refused = self.draining or self._hits(RunnerFault.REFUSE) or unloaded
         if refused or full:
@@ -195,7 +197,7 @@
             return [RunnerReply(connection, record.attempt, refusal)]
         self.accepted_at.append(now)
         call = _Call(record, connection, now)
-        self.waiting[record.attempt] = call
+        self.queued[record.attempt] = call
         self._at(now + HEARTBEAT_S, 'alive', record.attempt)
         return self._start_waiting(now)
 
@@ -208,11 +210,11 @@
         heapq.heappush(self.events, (due, next(self.counter), kind, attempt))
 
     def _start_waiting(self, now: float) -> list[RunnerReply]:
-        while self.waiting and len(self.running) < self.shape.slots:
+        while self.queued and len(self.running) < self.shape.slots:
             attempt = max(
-                self.waiting, key=lambda a: self.waiting[a].record.priority
+                self.queued, key=lambda a: self.queued[a].record.priority
             )
-            self._start(attempt, self.waiting.pop(attempt), now)
+            self._start(attempt, self.queued.pop(attempt), now)
         return []
 
     def _start(self, attempt: str, call: _Call, now: float) -> None:
@@ -261,7 +263,7 @@
 
     def cancel(self, attempt: str, now: float) -> list[RunnerReply]:
         """Stop a call if it is known."""
-        self.waiting.pop(attempt, None)
+        self.queued.pop(attempt, None)
         call = self.running.pop(attempt, None)
         if call is not None and call.started_at is not None:
             self.busy_s += now - call.started_at
@@ -298,7 +300,7 @@
         return self._chunk(attempt, call, int(kind[1:]), now)
 
     def _heartbeat(self, attempt: str, now: float) -> list[RunnerReply]:
-        call = self.waiting.get(attempt) or self.running.get(attempt)
+        call = self.queued.get(attempt) or self.running.get(attempt)
         if call is None:
             return []
         self._at(now + HEARTBEAT_S, 'alive', attempt)
@@ -322,7 +324,9 @@
         record = wire.ResultChunk(attempt, seq, call.chunks[seq])
         reply = RunnerReply(call.connection, attempt, record)
         if self._hits(RunnerFault.DIE_MIDWAY):
-            broken = RunnerReply(call.connection, attempt, None, broken=True)
+            broken = RunnerReply(
+                call.connection, attempt, None, aborts_connection=True
+            )
             return [broken, *self._finish(attempt, now)]
         if self._hits(RunnerFault.LOSE_CHUNK):
             return []
@@ -352,7 +356,9 @@
     def _end(self, attempt: str, call: _Call, now: float) -> list[RunnerReply]:
         after = self._finish(attempt, now)
         if self._hits(RunnerFault.TRUNCATE):
-            broken = RunnerReply(call.connection, attempt, None, broken=True)
+            broken = RunnerReply(
+                call.connection, attempt, None, aborts_connection=True
+            )
             return [broken, *after]
         record = wire.ResultEnd(
             attempt,
--- a/libs/ragwort_fakes/ragwort_fakes/_runner_http.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_runner_http.py
@@ -75,7 +75,7 @@
         self._check_idle()
 
     def _check_idle(self) -> None:
-        idle = not self.core.running and not self.core.waiting
+        idle = not self.core.running and not self.core.queued
         over = time.monotonic() >= self.stop_at
         if over or (idle and self._was_refusing_long_enough()):
             self._stop()
@@ -141,7 +141,7 @@
         """Write replies, all lines of one call at once."""
         lines: dict[str, list[bytes]] = {}
         for reply in replies:
-            if reply.broken:
+            if reply.aborts_connection:
                 self._break(reply.attempt)
             elif reply.record is not None:
                 line = wire.encode_result(reply.record)
@@ -160,7 +160,7 @@
             return
         request = entry[0]
         request.write(data)
-        if attempt not in self.core.waiting and (
+        if attempt not in self.core.queued and (
             attempt not in self.core.running
         ):
             del self.open[attempt]
@@ -211,7 +211,7 @@
             request.setResponseCode(400)
             return str(error).encode()
         core = self.runner.core
-        if not core.order(order, time.monotonic(), time.time()):
+        if not core.apply_order(order, time.monotonic(), time.time()):
             request.setResponseCode(409)
             return b'{"error": "fencing number or expiry too old"}'
         return b'{}'
--- a/libs/ragwort_fakes/ragwort_fakes/_samples.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_samples.py
@@ -62,6 +62,6 @@
     return objects
 
 
-def named(name: str, content: dict[str, Any]) -> dict[str, Any]:
+def with_name(name: str, content: dict[str, Any]) -> dict[str, Any]:
     """Return an object's content with the name that its key implies."""
     return {'name': name.partition('/')[2], **content}
--- a/libs/ragwort_lab/ragwort_lab/_runner_side.py
+++ b/libs/ragwort_lab/ragwort_lab/_runner_side.py
@@ -99,7 +99,7 @@
             opened = slot.calls.get(reply.attempt)
             if opened is None:
                 continue
-            if reply.broken:
+            if reply.aborts_connection:
                 self._fail_call(opened, model.CallFailure.LOST)
                 continue
             assert reply.record is not None
@@ -177,7 +177,9 @@
             return
         core = runner.core
         highest = max((o.fencing for o in core.orders), default=0)
-        obeyed = core.order(effect.order, self.world.now, self.world.wall())
+        obeyed = core.apply_order(
+            effect.order, self.world.now, self.world.wall()
+        )
         if obeyed and effect.order.fencing < highest:
             self.world.trace.order_violations.append(
                 f'{effect.runner.name} obeyed fencing '
@@ -191,7 +193,7 @@
         for opened in slot.calls.values():
             self._fail_call(opened, model.CallFailure.LOST)
         slot.calls.clear()
-        slot.core.waiting.clear()
+        slot.core.queued.clear()
         slot.core.running.clear()
 
     def revive(self, name: str) -> None:
--- a/libs/ragwort_lab/ragwort_lab/_scale_bench.py
+++ b/libs/ragwort_lab/ragwort_lab/_scale_bench.py
@@ -199,7 +199,7 @@
         model.StoredObject(
             state.CONFIG_PREFIX + name,
             index + 1,
-            json.dumps(fakes.named(name, content), sort_keys=True),
+            json.dumps(fakes.with_name(name, content), sort_keys=True),
         )
         for index, (name, content) in enumerate(objects.items())
     ]
--- a/libs/ragwort_lab/ragwort_lab/_world.py
+++ b/libs/ragwort_lab/ragwort_lab/_world.py
@@ -101,7 +101,7 @@
 
     def put_object(self, name: str, content: dict[str, Any]) -> int:
         """Set a configuration object and return its version."""
-        text = _world_parts.document_text(fakes.named(name, content))
+        text = _world_parts.document_text(fakes.with_name(name, content))
         return self.platform.put(state.CONFIG_PREFIX + name, text)
 
     def _add_node(self, index: int) -> None:
@@ -210,7 +210,7 @@
         slot = self.nodes[name]
         slot.alive = False
         slot.held.clear()
-        self.platform.forget(name)
+        self.platform.drop_watches(name)
         for submission in self.trace.submissions:
             current = submission.host == name and (
                 submission.epoch == slot.epoch
