--- a/libs/ragwort_fakes/ragwort_fakes/__init__.py
+++ b/libs/ragwort_fakes/ragwort_fakes/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform, model engines and plain services."""
+"""Fakes of the platform, model engines and plain services."""
 
 from ragwort_fakes._content import expected_answer
 from ragwort_fakes._content import stage_chunks
--- a/libs/ragwort_fakes/ragwort_fakes/_platform.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_platform.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's object API, without sockets."""
+"""Fake of the platform's object API, without sockets."""
 
 import dataclasses
 import enum
@@ -7,11 +7,11 @@
 
 HISTORY_LIMIT = 10_000
 BURST_S = 1.0
-STALE_REVISIONS = 25
+STALE_LAG_REVISIONS = 25
 
 
 class PlatformFault(enum.StrEnum):
-    """Ways in which the stand-in platform can be told to misbehave."""
+    """Faults that can be injected into the fake platform."""
 
     DOWN = 'down'
     LOSE_ANSWER = 'lose_answer'
@@ -22,18 +22,18 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Bucket:
+class _TokenBucket:
     """Token bucket of one published rate, in calls per second."""
 
     rate: float
     tokens: float
-    at: float = 0.0
+    updated_at: float = 0.0
 
-    def take(self, now: float) -> bool:
-        passed_s = max(0.0, now - self.at)
-        limit = self.rate * BURST_S
-        self.tokens = min(self.tokens + passed_s * self.rate, limit)
-        self.at = now
+    def try_take(self, now: float) -> bool:
+        elapsed_s = max(0.0, now - self.updated_at)
+        capacity = self.rate * BURST_S
+        self.tokens = min(self.tokens + elapsed_s * self.rate, capacity)
+        self.updated_at = now
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchAnswer:
-    """A watch that has ended, and the caller it belongs to."""
+    """Result of a watch that has ended, with its caller."""
 
     caller: str
     result: model.StoreResult
@@ -59,21 +59,21 @@
     """Versioned objects with conditional updates and watches."""
 
     def __init__(self, reads_per_s: float, writes_per_s: float) -> None:
-        """Start empty, with full allowances."""
+        """Start without objects and with full token buckets."""
         self.objects: dict[str, model.StoredObject] = {}
         self.history: list[model.StoredObject] = []
-        self.compacted = 0
+        self.compacted_revision = 0
         self.revision = 0
         self.watches: list[_Watch] = []
         self.faults: set[PlatformFault] = set()
-        self.reads = _Bucket(reads_per_s, reads_per_s)
-        self.writes = _Bucket(writes_per_s, writes_per_s)
+        self.read_bucket = _TokenBucket(reads_per_s, reads_per_s)
+        self.write_bucket = _TokenBucket(writes_per_s, writes_per_s)
         self.read_count = 0
         self.write_count = 0
         self.limited_count = 0
-        self.stale: dict[str, model.StoredObject] = {}
+        self.stale_objects: dict[str, model.StoredObject] = {}
         self.stale_revision = 0
-        self.pending_hosts: list[tuple[float, str, str | None]] = []
+        self.pending_host_changes: list[tuple[float, str, str | None]] = []
 
     def set_fault(self, fault: PlatformFault, active: bool) -> None:
         """Switch a fault on or off."""
@@ -82,11 +82,11 @@
             return
         self.faults.add(fault)
         if fault == PlatformFault.STALE_LIST:
-            self.stale_revision = max(0, self.revision - STALE_REVISIONS)
-            self.stale = self._as_of(self.stale_revision)
+            self.stale_revision = max(0, self.revision - STALE_LAG_REVISIONS)
+            self.stale_objects = self._objects_at(self.stale_revision)
 
-    def _as_of(self, revision: int) -> dict[str, model.StoredObject]:
-        """Return the objects as they stood at an earlier revision."""
+    def _objects_at(self, revision: int) -> dict[str, model.StoredObject]:
+        """Return the objects as of an earlier revision."""
         objects: dict[str, model.StoredObject] = {}
         for item in self.history:
             if item.version <= revision:
@@ -105,35 +105,37 @@
         if len(self.history) > HISTORY_LIMIT:
             dropped = self.history[: HISTORY_LIMIT // 2]
             del self.history[: HISTORY_LIMIT // 2]
-            self.compacted = dropped[-1].version
+            self.compacted_revision = dropped[-1].version
         return self.revision
 
     def set_host(
         self, name: str, value: str | None, now: float, lag_s: float
     ) -> None:
-        """Change the host list, which shows it after a lag."""
-        self.pending_hosts.append((now + lag_s, name, value))
+        """Change an entry of the host list, visible after lag_s."""
+        self.pending_host_changes.append((now + lag_s, name, value))
 
     def call(
         self, caller: str, call: model.StoreCall, now: float
     ) -> model.StoreResult | None:
-        """Carry out a call; None means that a watch stays open."""
-        writing = call.verb in (model.StoreVerb.PUT, model.StoreVerb.DELETE)
+        """Execute a call; return None for a watch that stays open."""
+        is_write = call.verb in (model.StoreVerb.PUT, model.StoreVerb.DELETE)
         if PlatformFault.DOWN in self.faults:
             return _status(call, model.StoreStatus.UNAVAILABLE)
-        if not (self.writes if writing else self.reads).take(now):
+        if not (self.write_bucket if is_write else self.read_bucket).try_take(
+            now
+        ):
             self.limited_count += 1
             return _status(call, model.StoreStatus.RATE_LIMITED)
-        if writing:
+        if is_write:
             self.write_count += 1
         else:
             self.read_count += 1
-        result = self._carry_out(caller, call, now)
-        if writing and PlatformFault.LOSE_ANSWER in self.faults:
+        result = self._execute(caller, call, now)
+        if is_write and PlatformFault.LOSE_ANSWER in self.faults:
             return _status(call, model.StoreStatus.UNAVAILABLE)
         return result
 
-    def _carry_out(
+    def _execute(
         self, caller: str, call: model.StoreCall, now: float
     ) -> model.StoreResult | None:
         match call.verb:
@@ -143,7 +145,7 @@
                     return _status(call, model.StoreStatus.NOT_FOUND)
                 return self._ok(call, (found,))
             case model.StoreVerb.PUT:
-                return self._write(call)
+                return self._conditional_put(call)
             case model.StoreVerb.DELETE:
                 if call.name not in self.objects:
                     return _status(call, model.StoreStatus.NOT_FOUND)
@@ -154,12 +156,12 @@
             case model.StoreVerb.WATCH:
                 return self._watch(caller, call, now)
 
-    def _write(self, call: model.StoreCall) -> model.StoreResult:
+    def _conditional_put(self, call: model.StoreCall) -> model.StoreResult:
         found = self.objects.get(call.name)
         version = found.version if found else 0
-        lost_race = PlatformFault.CONFLICT in self.faults
-        if lost_race and found is not None:
-            # Somebody else's write with the same content comes first.
+        inject_conflict = PlatformFault.CONFLICT in self.faults
+        if inject_conflict and found is not None:
+            # Simulates a concurrent write of the same content.
             self.put(call.name, found.value)
             return _status(call, model.StoreStatus.CONFLICT)
         if version != call.expected_version:
@@ -170,7 +172,7 @@
     def _list(self, call: model.StoreCall) -> model.StoreResult:
         source, revision = self.objects, self.revision
         if PlatformFault.STALE_LIST in self.faults:
-            source, revision = self.stale, self.stale_revision
+            source, revision = self.stale_objects, self.stale_revision
         objects = tuple(
             item
             for name, item in sorted(source.items())
@@ -184,11 +186,15 @@
         self, caller: str, call: model.StoreCall, now: float
     ) -> model.StoreResult | None:
         stale = PlatformFault.STALE_WATCH in self.faults
-        if stale or call.since < self.compacted or call.since > self.revision:
+        if (
+            stale
+            or call.since < self.compacted_revision
+            or call.since > self.revision
+        ):
             return _status(call, model.StoreStatus.GONE)
-        changed = self._changes(call)
-        if changed or call.wait_s <= 0:
-            return self._ok(call, changed)
+        changes = self._changes(call)
+        if changes or call.wait_s <= 0:
+            return self._ok(call, changes)
         watch = _Watch(caller, call, now + call.wait_s)
         self.watches.append(watch)
         return None
@@ -212,9 +218,11 @@
         )
 
     def tick(self, now: float) -> list[WatchAnswer]:
-        """Return the watches that have something to say or are over."""
-        for due, name, value in [h for h in self.pending_hosts if h[0] <= now]:
-            self.pending_hosts.remove((due, name, value))
+        """Apply due host changes and return the watches that end."""
+        for due, name, value in [
+            change for change in self.pending_host_changes if change[0] <= now
+        ]:
+            self.pending_host_changes.remove((due, name, value))
             self.put(name, value)
         answers: list[WatchAnswer] = []
         for watch in list(self.watches):
@@ -231,13 +239,13 @@
             return _status(watch.call, model.StoreStatus.UNAVAILABLE)
         if PlatformFault.STALE_WATCH in self.faults:
             return _status(watch.call, model.StoreStatus.GONE)
-        changed = self._changes(watch.call)
-        if changed or now >= watch.expires_at:
-            return self._ok(watch.call, changed)
+        changes = self._changes(watch.call)
+        if changes or now >= watch.expires_at:
+            return self._ok(watch.call, changes)
         return None
 
     def drop_watches(self, caller: str) -> None:
-        """Drop the watches of a caller that is gone."""
+        """Drop the watches of a caller that has disconnected."""
         self.watches = [w for w in self.watches if w.caller != caller]
 
 
--- a/libs/ragwort_fakes/ragwort_fakes/_platform_http.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_platform_http.py
@@ -1,4 +1,4 @@
-"""The stand-in platform as an HTTP server."""
+"""HTTP server of the fake platform."""
 
 import itertools
 import json
@@ -14,12 +14,12 @@
 import ragwort_model as model
 import ragwort_wire as wire
 
-TICK_S = 0.02
-SLOW_S = 0.8
+TICK_INTERVAL_S = 0.02
+SLOW_DELAY_S = 0.8
 CONFIG_PREFIX = 'config/'
 
 
-def silent_site(root: resource.Resource) -> server.Site:
+def create_unlogged_site(root: resource.Resource) -> server.Site:
     """Return a site that writes neither access log nor tracebacks."""
     site = server.Site(root, timeout=120)
     site.noisy = False
@@ -29,17 +29,17 @@
 
 
 def _no_access_log(request: http.Request) -> None:
-    """Write nothing."""
+    """Discard an access log entry."""
 
 
-def argument(request: server.Request, name: str, default: str) -> str:
-    """Return a query argument."""
+def query_argument(request: server.Request, name: str, default: str) -> str:
+    """Return the first value of a query argument, or the default."""
     values = request.args.get(name.encode(), [])
     return str(values[0].decode()) if values else default
 
 
 class PlatformServer:
-    """Serve the object API, and a control call for tests."""
+    """Serve the object API, and a control endpoint for tests."""
 
     def __init__(self, reactor: Any, settings: model.PlatformSettings) -> None:
         """Load the objects that the settings list."""
@@ -48,8 +48,8 @@
         self.core = _platform.PlatformCore(
             settings.reads_per_s, settings.writes_per_s
         )
-        self.open: dict[str, server.Request] = {}
-        self.counter = itertools.count()
+        self.pending: dict[str, server.Request] = {}
+        self.caller_ids = itertools.count()
         for name, content in settings.objects.items():
             text = json.dumps(
                 _samples.with_name(name, content), sort_keys=True
@@ -60,7 +60,7 @@
     def start(self) -> Any:
         """Listen and return the port."""
         host, port = model.split_address(self.settings.listen)
-        site = silent_site(_Root(self))
+        site = create_unlogged_site(_Root(self))
         listening = self.reactor.listenTCP(
             port, site, backlog=512, interface=host
         )
@@ -69,30 +69,30 @@
 
     def _tick(self) -> None:
         for answer in self.core.tick(time.monotonic()):
-            request = self.open.pop(answer.caller, None)
+            request = self.pending.pop(answer.caller, None)
             if request is not None:
                 self._write(request, answer.result)
-        self.reactor.callLater(TICK_S, self._tick)
+        self.reactor.callLater(TICK_INTERVAL_S, self._tick)
 
     def serve(self, request: server.Request, call: model.StoreCall) -> int:
-        """Carry out a call and answer when its result is there."""
+        """Execute a call and respond once its result is available."""
         if _platform.PlatformFault.SLOW in self.core.faults:
-            self.reactor.callLater(SLOW_S, self._serve, request, call)
+            self.reactor.callLater(SLOW_DELAY_S, self._execute, request, call)
         else:
-            self._serve(request, call)
+            self._execute(request, call)
         return int(server.NOT_DONE_YET)
 
-    def _serve(self, request: server.Request, call: model.StoreCall) -> None:
-        caller = f'connection-{next(self.counter)}'
+    def _execute(self, request: server.Request, call: model.StoreCall) -> None:
+        caller = f'connection-{next(self.caller_ids)}'
         finished = request.notifyFinish()
-        finished.addErrback(lambda _: self._on_gone(caller))
-        self.open[caller] = request
+        finished.addErrback(lambda _: self._on_disconnect(caller))
+        self.pending[caller] = request
         result = self.core.call(caller, call, time.monotonic())
-        if result is not None and self.open.pop(caller, None) is not None:
+        if result is not None and self.pending.pop(caller, None) is not None:
             self._write(request, result)
 
-    def _on_gone(self, caller: str) -> None:
-        self.open.pop(caller, None)
+    def _on_disconnect(self, caller: str) -> None:
+        self.pending.pop(caller, None)
         self.core.drop_watches(caller)
 
     def _write(
@@ -133,7 +133,7 @@
         if name:
             call = model.StoreCall('http', model.StoreVerb.GET, name)
         else:
-            prefix = argument(request, 'prefix', '')
+            prefix = query_argument(request, 'prefix', '')
             call = model.StoreCall('http', model.StoreVerb.LIST, prefix)
         return self.platform.serve(request, call)
 
@@ -168,9 +168,9 @@
         call = model.StoreCall(
             'http',
             model.StoreVerb.WATCH,
-            argument(request, 'prefix', ''),
-            since=int(argument(request, 'since', '0')),
-            wait_s=int(argument(request, 'wait_ms', '0')) / 1000,
+            query_argument(request, 'prefix', ''),
+            since=int(query_argument(request, 'since', '0')),
+            wait_s=int(query_argument(request, 'wait_ms', '0')) / 1000,
         )
         return self.platform.serve(request, call)
 
--- a/libs/ragwort_fakes/ragwort_fakes/_runner_http.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_runner_http.py
@@ -51,7 +51,7 @@
     def start(self) -> Any:
         """Listen and return the port."""
         host, port = model.split_address(self.settings.listen)
-        site = _platform_http.silent_site(_Root(self))
+        site = _platform_http.create_unlogged_site(_Root(self))
         self.port = self.reactor.listenTCP(
             port, site, backlog=512, interface=host
         )
--- a/libs/ragwort_fakes/ragwort_fakes/_samples.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_samples.py
@@ -63,5 +63,5 @@
 
 
 def with_name(name: str, content: dict[str, Any]) -> dict[str, Any]:
-    """Return an object's content with the name that its key implies."""
+    """Return an object's content with the name from its key added."""
     return {'name': name.partition('/')[2], **content}
