--- a/libs/ragwort_fakes/ragwort_fakes/_runner.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_runner.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine or plain service, without sockets."""
+"""Fake of a model engine or plain service, without sockets."""
 
 import collections
 import dataclasses
@@ -12,15 +12,15 @@
 import ragwort_model as model
 import ragwort_wire as wire
 
-HEARTBEAT_S = 0.25
-QUEUE_PER_SLOT = 8
-FAILURE_S = 0.002
-CACHED_SHARE = 0.4
+HEARTBEAT_INTERVAL_S = 0.25
+MAX_QUEUED_PER_SLOT = 8
+FAILURE_DELAY_S = 0.002
+CACHED_TIME_SHARE = 0.4
 PREFIX_CHARS = 256
 
 
 class RunnerFault(enum.StrEnum):
-    """Ways in which a stand-in runner can be told to misbehave."""
+    """Faults that can be injected into a fake runner."""
 
     SLOW = 'slow'
     FAIL = 'fail'
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunnerShape:
-    """Capacity and speed of a stand-in; times in seconds.
+    """Capacity and speed of a fake runner; times in seconds.
 
     deviation is the standard deviation of the logarithm of the service
     time; cached_prefixes is how many prompt prefixes its cache holds.
@@ -71,7 +71,7 @@
 class RunnerReply:
     """A record to send on the connection of a call.
 
-    aborts_connection means that the connection ends here instead.
+    aborts_connection means that the connection is aborted instead.
     """
 
     connection: str
@@ -81,7 +81,7 @@
 
 
 class RunnerCore:
-    """Queue, slots, faults and the record of what was run."""
+    """Queue, slots, faults and the log of executed calls."""
 
     def __init__(
         self, name: str, shape: RunnerShape, rng: random.Random
@@ -95,7 +95,7 @@
         self.events: list[tuple[float, int, str, str]] = []
         self.counter = itertools.count()
         self.faults: dict[RunnerFault, float] = {}
-        self.silent: set[str] = set()
+        self.silent_connections: set[str] = set()
         self.draining = False
         self.state_version = 0
         self.executed: list[tuple[str, str, float]] = []
@@ -103,46 +103,46 @@
         self.cache: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
-        self.fencing = 0
+        self.highest_fencing = 0
         self.orders: list[model.RunnerOrder] = []
         self.loaded_at = -math.inf
         self.busy_s = 0.0
         self.crossing: list[wire.ResultRecord] = []
-        self.report = wire.LoadRecord(0, 0, shape.slots, 0.0, False, 0)
+        self.last_report = wire.LoadRecord(0, 0, shape.slots, 0.0, False, 0)
         self.report_at = -1e9
 
     def set_fault(self, fault: RunnerFault, value: float) -> None:
-        """Set a fault's share, or its factor for SLOW; 0 clears it."""
+        """Set a fault's probability, or the factor of SLOW; 0 clears it."""
         if value:
             self.faults[fault] = value
         else:
             self.faults.pop(fault, None)
         if fault == RunnerFault.SILENT_CONNECTION and not value:
-            self.silent.clear()
+            self.silent_connections.clear()
 
-    def _hits(self, fault: RunnerFault) -> bool:
+    def _should_inject(self, fault: RunnerFault) -> bool:
         share = self.faults.get(fault, 0.0)
         return share > 0.0 and self.rng.random() < share
 
     def drain(self, now: float) -> None:
-        """Refuse new calls and finish those taken."""
+        """Refuse new calls and finish accepted ones."""
         self.draining = True
         self.state_version = max(self.state_version + 1, int(now * 1000))
 
     def undrain(self, now: float) -> None:
-        """Take calls again."""
+        """Accept calls again."""
         self.draining = False
         self.state_version = max(self.state_version + 1, int(now * 1000))
 
     def apply_order(
         self, order: model.RunnerOrder, now: float, wall: float
     ) -> bool:
-        """Take a placement order; return False if it is refused."""
+        """Apply a placement order; return False if it is refused."""
         if wall > order.expires_wall:
             return False
-        if self.shape.checks_fencing and order.fencing < self.fencing:
+        if self.shape.checks_fencing and order.fencing < self.highest_fencing:
             return False
-        self.fencing = max(self.fencing, order.fencing)
+        self.highest_fencing = max(self.highest_fencing, order.fencing)
         self.orders.append(order)
         if order.desired == model.DesiredState.UNLOADED:
             self.loaded_at = math.inf
@@ -151,14 +151,14 @@
         return True
 
     def is_loaded(self, now: float) -> bool:
-        """Tell whether the weights are there."""
+        """Tell whether the model weights are loaded."""
         return now >= self.loaded_at
 
     def load(self, now: float) -> wire.LoadRecord:
-        """Return a load report, which lags by the shape's report_lag_s."""
+        """Return a load report that is up to report_lag_s old."""
         if now - self.report_at >= self.shape.report_lag_s:
             self.report_at = now
-            self.report = wire.LoadRecord(
+            self.last_report = wire.LoadRecord(
                 len(self.running),
                 len(self.queued),
                 self.shape.slots,
@@ -166,11 +166,11 @@
                 self.draining,
                 self.state_version,
             )
-        seen = self.report
+        report = self.last_report
         return wire.LoadRecord(
-            seen.running,
-            seen.queued,
-            seen.slots,
+            report.running,
+            report.queued,
+            report.slots,
             now - self.report_at,
             self.draining,
             self.state_version,
@@ -180,16 +180,20 @@
     def submit(
         self, record: wire.CallRecord, connection: str, now: float
     ) -> list[RunnerReply]:
-        """Take a call, or refuse it."""
-        if connection in self.silent:
+        """Accept a call, or refuse it."""
+        if connection in self.silent_connections:
             return []
-        if self._hits(RunnerFault.SILENT_CONNECTION):
-            self.silent.add(connection)
+        if self._should_inject(RunnerFault.SILENT_CONNECTION):
+            self.silent_connections.add(connection)
             return []
-        full = len(self.queued) >= QUEUE_PER_SLOT * self.shape.slots
+        queue_full = len(self.queued) >= MAX_QUEUED_PER_SLOT * self.shape.slots
         unloaded = not self.is_loaded(now)
-        refused = self.draining or self._hits(RunnerFault.REFUSE) or unloaded
-        if refused or full:
+        refuses = (
+            self.draining
+            or self._should_inject(RunnerFault.REFUSE)
+            or unloaded
+        )
+        if refuses or queue_full:
             reason = self._refusal_reason(unloaded)
             refusal = wire.ResultRefused(
                 record.attempt, reason, self.load(now)
@@ -198,18 +202,18 @@
         self.accepted_at.append(now)
         call = _Call(record, connection, now)
         self.queued[record.attempt] = call
-        self._at(now + HEARTBEAT_S, 'alive', record.attempt)
-        return self._start_waiting(now)
+        self._schedule(now + HEARTBEAT_INTERVAL_S, 'heartbeat', record.attempt)
+        return self._start_queued(now)
 
     def _refusal_reason(self, unloaded: bool) -> str:
         if self.draining:
             return 'draining'
         return 'not loaded' if unloaded else 'queue full'
 
-    def _at(self, due: float, kind: str, attempt: str) -> None:
+    def _schedule(self, due: float, kind: str, attempt: str) -> None:
         heapq.heappush(self.events, (due, next(self.counter), kind, attempt))
 
-    def _start_waiting(self, now: float) -> list[RunnerReply]:
+    def _start_queued(self, now: float) -> list[RunnerReply]:
         while self.queued and len(self.running) < self.shape.slots:
             attempt = max(
                 self.queued, key=lambda a: self.queued[a].record.priority
@@ -226,51 +230,51 @@
         call.chunks = _content.stage_chunks(
             self.shape.service, self.shape.kind, text, self.shape.chunks
         )
-        if self._hits(RunnerFault.HANG):
+        if self._should_inject(RunnerFault.HANG):
             return
-        if self._hits(RunnerFault.FAIL):
-            self._at(now + FAILURE_S, 'fail', attempt)
+        if self._should_inject(RunnerFault.FAIL):
+            self._schedule(now + FAILURE_DELAY_S, 'fail', attempt)
             return
         factor = self.faults.get(RunnerFault.SLOW, 1.0)
-        if self._hits(RunnerFault.LATE):
+        if self._should_inject(RunnerFault.LATE):
             factor *= 20.0
-        first_s = self._service_s(text) * factor
+        first_s = self._service_time_s(text) * factor
         chunk_s = self.shape.chunk_s * factor
         due = now + first_s
         for seq in range(call.record.resume_from, len(call.chunks)):
-            self._at(due, f'c{seq}', attempt)
+            self._schedule(due, f'c{seq}', attempt)
             due += chunk_s
         count = max(1, len(call.chunks) - call.record.resume_from)
         call.busy_s = first_s + (count - 1) * chunk_s
-        self._at(due, 'end', attempt)
+        self._schedule(due, 'end', attempt)
 
-    def _service_s(self, text: str) -> float:
-        base = self.shape.service_s
+    def _service_time_s(self, text: str) -> float:
+        service_s = self.shape.service_s
         if self.shape.deviation:
-            base *= self.rng.lognormvariate(0.0, self.shape.deviation)
+            service_s *= self.rng.lognormvariate(0.0, self.shape.deviation)
         if self.shape.cached_prefixes and self._is_cached(text):
-            base *= CACHED_SHARE
-        return base
+            service_s *= CACHED_TIME_SHARE
+        return service_s
 
     def _is_cached(self, text: str) -> bool:
         prefix = text[:PREFIX_CHARS]
-        known = prefix in self.cache
+        is_cached = prefix in self.cache
         self.cache[prefix] = None
         self.cache.move_to_end(prefix)
         while len(self.cache) > self.shape.cached_prefixes:
             self.cache.popitem(last=False)
-        return known
+        return is_cached
 
     def cancel(self, attempt: str, now: float) -> list[RunnerReply]:
-        """Stop a call if it is known."""
+        """Cancel a call if it is queued or running."""
         self.queued.pop(attempt, None)
         call = self.running.pop(attempt, None)
         if call is not None and call.started_at is not None:
             self.busy_s += now - call.started_at
-        return self._start_waiting(now)
+        return self._start_queued(now)
 
     def next_due(self) -> float | None:
-        """Return when tick has something to do."""
+        """Return the time of the next event, or None."""
         return self.events[0][0] if self.events else None
 
     def tick(self, now: float) -> list[RunnerReply]:
@@ -278,16 +282,18 @@
         replies: list[RunnerReply] = []
         while self.events and self.events[0][0] <= now:
             due, _, kind, attempt = heapq.heappop(self.events)
-            replies += self._act(kind, attempt, due)
+            replies += self._handle_event(kind, attempt, due)
         return replies
 
-    def _act(self, kind: str, attempt: str, now: float) -> list[RunnerReply]:
-        if kind == 'alive':
+    def _handle_event(
+        self, kind: str, attempt: str, now: float
+    ) -> list[RunnerReply]:
+        if kind == 'heartbeat':
             return self._heartbeat(attempt, now)
         call = self.running.get(attempt)
         if call is None:
             return []
-        if call.connection in self.silent:
+        if call.connection in self.silent_connections:
             return self._finish(attempt, now) if kind == 'end' else []
         if kind == 'end':
             return self._end(attempt, call, now)
@@ -303,8 +309,10 @@
         call = self.queued.get(attempt) or self.running.get(attempt)
         if call is None:
             return []
-        self._at(now + HEARTBEAT_S, 'alive', attempt)
-        if call.connection in self.silent or self._is_hung(call, now):
+        self._schedule(now + HEARTBEAT_INTERVAL_S, 'heartbeat', attempt)
+        if call.connection in self.silent_connections or self._is_hung(
+            call, now
+        ):
             return []
         record = wire.ResultHeartbeat(attempt)
         return [RunnerReply(call.connection, attempt, record)]
@@ -316,33 +324,37 @@
         call = self.running.pop(attempt)
         assert call.started_at is not None
         self.busy_s += now - call.started_at
-        return self._start_waiting(now)
+        return self._start_queued(now)
 
     def _chunk(
         self, attempt: str, call: _Call, seq: int, now: float
     ) -> list[RunnerReply]:
         record = wire.ResultChunk(attempt, seq, call.chunks[seq])
         reply = RunnerReply(call.connection, attempt, record)
-        if self._hits(RunnerFault.DIE_MIDWAY):
-            broken = RunnerReply(
+        if self._should_inject(RunnerFault.DIE_MIDWAY):
+            abort = RunnerReply(
                 call.connection, attempt, None, aborts_connection=True
             )
-            return [broken, *self._finish(attempt, now)]
-        if self._hits(RunnerFault.LOSE_CHUNK):
+            return [abort, *self._finish(attempt, now)]
+        if self._should_inject(RunnerFault.LOSE_CHUNK):
             return []
-        if self._hits(RunnerFault.CROSS):
+        if self._should_inject(RunnerFault.CROSS):
             return self._cross(call, reply, attempt)
-        if self._hits(RunnerFault.REORDER) and seq + 1 < len(call.chunks):
-            after = wire.ResultChunk(attempt, seq + 1, call.chunks[seq + 1])
-            return [RunnerReply(call.connection, attempt, after), reply]
-        if self._hits(RunnerFault.REPEAT):
+        if self._should_inject(RunnerFault.REORDER) and seq + 1 < len(
+            call.chunks
+        ):
+            next_chunk = wire.ResultChunk(
+                attempt, seq + 1, call.chunks[seq + 1]
+            )
+            return [RunnerReply(call.connection, attempt, next_chunk), reply]
+        if self._should_inject(RunnerFault.REPEAT):
             return [reply, reply]
         return [reply]
 
     def _cross(
         self, call: _Call, reply: RunnerReply, attempt: str
     ) -> list[RunnerReply]:
-        """Send this reply, too, on the connection of another call."""
+        """Return the reply and a copy on the connection of another call."""
         others = [
             (name, other)
             for name, other in self.running.items()
@@ -354,12 +366,12 @@
         return [RunnerReply(other.connection, name, reply.record), reply]
 
     def _end(self, attempt: str, call: _Call, now: float) -> list[RunnerReply]:
-        after = self._finish(attempt, now)
-        if self._hits(RunnerFault.TRUNCATE):
-            broken = RunnerReply(
+        started = self._finish(attempt, now)
+        if self._should_inject(RunnerFault.TRUNCATE):
+            abort = RunnerReply(
                 call.connection, attempt, None, aborts_connection=True
             )
-            return [broken, *after]
+            return [abort, *started]
         record = wire.ResultEnd(
             attempt,
             len(call.chunks),
@@ -367,4 +379,4 @@
             call.busy_s,
             self.load(now),
         )
-        return [RunnerReply(call.connection, attempt, record), *after]
+        return [RunnerReply(call.connection, attempt, record), *started]
--- a/libs/ragwort_fakes/ragwort_fakes/_runner_http.py
+++ b/libs/ragwort_fakes/ragwort_fakes/_runner_http.py
@@ -1,4 +1,4 @@
-"""The stand-in runner as an HTTP server."""
+"""HTTP server of the fake runner."""
 
 import itertools
 import json
@@ -16,12 +16,12 @@
 import ragwort_model as model
 import ragwort_wire as wire
 
-IDLE_CHECK_S = 0.05
-MIN_TIMER_S = 0.0005
+IDLE_CHECK_INTERVAL_S = 0.05
+MIN_TIMER_DELAY_S = 0.0005
 
 
 class RunnerServer:
-    """Serve stage calls and orders, and a control call for tests."""
+    """Serve stage calls and orders, and a control endpoint for tests."""
 
     def __init__(self, reactor: Any, settings: model.RunnerSettings) -> None:
         """Create the core from settings."""
@@ -41,11 +41,11 @@
             settings.name, shape, random.Random(seed)
         )
         self.connections: dict[int, str] = {}
-        self.open: dict[str, tuple[server.Request, bytes]] = {}
-        self.counter = itertools.count(1)
+        self.pending: dict[str, tuple[server.Request, bytes]] = {}
+        self.connection_ids = itertools.count(1)
         self.timer: Any = None
         self.port: Any = None
-        self.stop_at = 0.0
+        self.drain_deadline = 0.0
         self.stopped: defer.Deferred[None] = defer.Deferred()
 
     def start(self) -> Any:
@@ -59,103 +59,103 @@
 
     def handle_signals(self) -> None:
         """Drain on SIGTERM and SIGINT."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, self._on_signal)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(signal_number, self._on_signal)
 
-    def _on_signal(self, number: int, frame: Any) -> None:
+    def _on_signal(self, signal_number: int, frame: Any) -> None:
         self.reactor.callFromThread(self.drain)
 
     def drain(self) -> None:
-        """Refuse new calls, finish those taken, then stop."""
+        """Refuse new calls, finish accepted ones, then stop."""
         if self.core.draining:
             self._stop()
             return
         self.core.drain(time.time())
-        self.stop_at = time.monotonic() + self.settings.drain_timeout
+        self.drain_deadline = time.monotonic() + self.settings.drain_timeout
         self._check_idle()
 
     def _check_idle(self) -> None:
         idle = not self.core.running and not self.core.queued
-        over = time.monotonic() >= self.stop_at
-        if over or (idle and self._was_refusing_long_enough()):
+        timed_out = time.monotonic() >= self.drain_deadline
+        if timed_out or (idle and self._has_refused_long_enough()):
             self._stop()
             return
-        self.reactor.callLater(IDLE_CHECK_S, self._check_idle)
+        self.reactor.callLater(IDLE_CHECK_INTERVAL_S, self._check_idle)
 
-    def _was_refusing_long_enough(self) -> bool:
-        """Keep refusing for a while, so that nodes hear of the drain."""
-        left_s = self.stop_at - time.monotonic()
-        return left_s < self.settings.drain_timeout / 2
+    def _has_refused_long_enough(self) -> bool:
+        """Refuse for half the drain timeout, so that nodes see the drain."""
+        remaining_s = self.drain_deadline - time.monotonic()
+        return remaining_s < self.settings.drain_timeout / 2
 
     def _stop(self) -> None:
         if not self.stopped.called:
             self.port.stopListening()
             self.stopped.callback(None)
 
-    def connection_of(self, request: server.Request) -> str:
+    def connection_name(self, request: server.Request) -> str:
         """Return a name for the connection that a request came on."""
-        ident = id(request.channel)
-        name = self.connections.get(ident)
+        channel_id = id(request.channel)
+        name = self.connections.get(channel_id)
         if name is None:
-            name = f'connection-{next(self.counter)}'
-            self.connections[ident] = name
+            name = f'connection-{next(self.connection_ids)}'
+            self.connections[channel_id] = name
         return name
 
     def submit(self, request: server.Request) -> Any:
-        """Take a call from an HTTP request."""
+        """Submit the call of an HTTP request."""
         try:
             record = wire.decode_call(request.content.read())
         except model.WireError as error:
             request.setResponseCode(400)
             return str(error).encode()
         request.setHeader(b'content-type', wire.STREAM_TYPE.encode())
-        connection = self.connection_of(request)
-        self.open[record.attempt] = (request, b'')
+        connection = self.connection_name(request)
+        self.pending[record.attempt] = (request, b'')
         request.notifyFinish().addErrback(
-            lambda _: self._on_gone(record.attempt, request)
+            lambda _: self._on_disconnect(record.attempt, request)
         )
         now = time.monotonic()
         self.send(self.core.submit(record, connection, now))
-        self._arm()
+        self._reset_timer()
         return server.NOT_DONE_YET
 
-    def _on_gone(self, attempt: str, request: server.Request) -> None:
+    def _on_disconnect(self, attempt: str, request: server.Request) -> None:
         self.connections.pop(id(request.channel), None)
-        if self.open.pop(attempt, None) is not None:
+        if self.pending.pop(attempt, None) is not None:
             self.send(self.core.cancel(attempt, time.monotonic()))
-            self._arm()
+            self._reset_timer()
 
-    def _arm(self) -> None:
+    def _reset_timer(self) -> None:
         due = self.core.next_due()
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         if due is not None:
-            delay_s = max(due - time.monotonic(), MIN_TIMER_S)
+            delay_s = max(due - time.monotonic(), MIN_TIMER_DELAY_S)
             self.timer = self.reactor.callLater(delay_s, self._tick)
 
     def _tick(self) -> None:
         self.send(self.core.tick(time.monotonic()))
-        self._arm()
+        self._reset_timer()
 
     def send(self, replies: list[_runner.RunnerReply]) -> None:
-        """Write replies, all lines of one call at once."""
+        """Write replies, with all lines of a call in one write."""
         lines: dict[str, list[bytes]] = {}
         for reply in replies:
             if reply.aborts_connection:
-                self._break(reply.attempt)
+                self._abort_connection(reply.attempt)
             elif reply.record is not None:
                 line = wire.encode_result(reply.record)
                 lines.setdefault(reply.attempt, []).append(line)
         for attempt, parts in lines.items():
             self._write(attempt, b''.join(parts))
 
-    def _break(self, attempt: str) -> None:
-        entry = self.open.pop(attempt, None)
+    def _abort_connection(self, attempt: str) -> None:
+        entry = self.pending.pop(attempt, None)
         if entry is not None:
             entry[0].channel.abortConnection()
 
     def _write(self, attempt: str, data: bytes) -> None:
-        entry = self.open.get(attempt)
+        entry = self.pending.get(attempt)
         if entry is None:
             return
         request = entry[0]
@@ -163,7 +163,7 @@
         if attempt not in self.core.queued and (
             attempt not in self.core.running
         ):
-            del self.open[attempt]
+            del self.pending[attempt]
             request.finish()
 
 
@@ -202,7 +202,7 @@
 
 
 class _Orders(_RunnerLeaf):
-    """POST of a placement order; 409 if its fencing number is too old."""
+    """POST of a placement order; 409 if its fencing token is too old."""
 
     def render_POST(self, request: server.Request) -> bytes:  # noqa: N802
         try:
