--- a/libs/ragwort_cli/ragwort_cli/_evidence_commands.py
+++ b/libs/ragwort_cli/ragwort_cli/_evidence_commands.py
@@ -84,7 +84,7 @@
         bool, typer.Option('--markdown', help='Print a Markdown table.')
     ] = False,
 ) -> None:
-    """Print each day of a run with its worths, classes and prices."""
+    """Print each day of a run with its worth, classes and prices."""
     entry = _journal.find_entry(_journal.read_journal(journal), run)
     rows = _journal.show_rows(entry, prices)
     if markdown:
@@ -125,6 +125,6 @@
     """Print the log lines of a request from all hosts, in time order."""
     lines = _logs.request_lines(logs, request)
     if not lines:
-        raise model.RequestError(f'no log line is about request {request!r}')
+        raise model.RequestError(f'no log line found for request {request!r}')
     for line in lines:
         typer.echo(line.to_text())
--- a/libs/ragwort_cli/ragwort_cli/_journal.py
+++ b/libs/ragwort_cli/ragwort_cli/_journal.py
@@ -87,7 +87,7 @@
 
 
 def show_rows(entry: JournalEntry, max_prices: int) -> list[list[object]]:
-    """Return a row for each day with its worths and largest prices."""
+    """Return a row for each day with its worth and largest prices."""
     return [
         [
             day.name,
--- a/libs/ragwort_cli/ragwort_cli/_operator.py
+++ b/libs/ragwort_cli/ragwort_cli/_operator.py
@@ -24,7 +24,7 @@
     """Sequential calls to the platform's object API."""
 
     def __init__(self, reactor: Any, platform: str) -> None:
-        """Bind to the platform's address."""
+        """Create a store client for the platform's address."""
         self.reactor = reactor
         self.pending: dict[str, defer.Deferred[model.StoreResult]] = {}
         self.client = node.StoreClient(
