--- a/features/soak/system.py
+++ b/features/soak/system.py
@@ -111,7 +111,7 @@
         self.by_front = {h.address('front'): h for h in self.hosts}
         self.listed: list[hosts.HostProcess] = []
         self.avoided: dict[str, float] = {}
-        self.caller = edge.HttpCaller(reactor)
+        self.client = edge.HttpClient(reactor)
         self.callers = [
             clients.Caller(
                 reactor,
@@ -197,7 +197,7 @@
             )
             try:
                 response = await edge.fetch(
-                    self.caller,
+                    self.client,
                     host.address('directory'),
                     request,
                     ASK_TIMEOUT_S,
--- a/features/steps/relay_http_steps.py
+++ b/features/steps/relay_http_steps.py
@@ -270,9 +270,9 @@
             opened.append(factory.buildProtocol(None))
 
     context.recorder = Recorder()
-    caller = edge.HttpCaller(Reactor())
+    client = edge.HttpClient(Reactor())
     request = edge.HttpRequest(b'GET', b'/', ((b'host', b'a'),))
-    caller.open('10.0.0.1:80', request, context.recorder)
+    client.open('10.0.0.1:80', request, context.recorder)
     (protocol,) = opened
     protocol.makeConnection(QuietTransport())
     for byte in RESPONSES[what]:
--- a/features/support/relay_hosts.py
+++ b/features/support/relay_hosts.py
@@ -237,9 +237,9 @@
             lambda host, request: edge.HttpResponse(200),
             logger,
         )
-        caller: Any = self.network
-        host.caller = host.context.caller = caller
-        host.stages.owner.caller = caller
+        client: Any = self.network
+        host.client = host.context.client = client
+        host.stages.owner.client = client
         links: Any = FakeLinks(self, entry.peer_address)
         host.peers = links
 
--- a/libs/ragwort_edge/ragwort_edge/__init__.py
+++ b/libs/ragwort_edge/ragwort_edge/__init__.py
@@ -3,7 +3,7 @@
 from ragwort_edge._client import CallError
 from ragwort_edge._client import CallProblem
 from ragwort_edge._client import fetch
-from ragwort_edge._client import HttpCaller
+from ragwort_edge._client import HttpClient
 from ragwort_edge._client import OpenCall
 from ragwort_edge._client import ResponseReader
 from ragwort_edge._context import RelayContext
@@ -42,7 +42,7 @@
     'find_header',
     'Headers',
     'HostOptions',
-    'HttpCaller',
+    'HttpClient',
     'HttpRequest',
     'HttpResponse',
     'MainCall',
--- a/libs/ragwort_edge/ragwort_edge/_client.py
+++ b/libs/ragwort_edge/ragwort_edge/_client.py
@@ -193,7 +193,7 @@
                 opened.transport.abortConnection()
 
 
-class HttpCaller:
+class HttpClient:
     """Opens calls."""
 
     def __init__(self, reactor: Any) -> None:
@@ -243,7 +243,7 @@
 
 
 def fetch(
-    caller: HttpCaller,
+    client: HttpClient,
     address: str,
     request: _messages.HttpRequest,
     timeout_s: float,
@@ -262,10 +262,10 @@
         done.errback(CallError(problem, f'no response in {timeout_s:.3f} s'))
 
     done: defer.Deferred[_messages.HttpResponse] = defer.Deferred(cancel)
-    call = caller.open(address, request, _WholeReader(done))
+    call = client.open(address, request, _WholeReader(done))
     if on_open is not None:
         on_open(call)
-    timer = caller.reactor.callLater(max(timeout_s, 0.0), done.cancel)
+    timer = client.reactor.callLater(max(timeout_s, 0.0), done.cancel)
 
     def stop_timer(result: Any) -> Any:
         if timer.active():
--- a/libs/ragwort_edge/ragwort_edge/_context.py
+++ b/libs/ragwort_edge/ragwort_edge/_context.py
@@ -29,7 +29,7 @@
 
     reactor: Any
     rng: Any
-    caller: _client.HttpCaller
+    client: _client.HttpClient
     dialect: _dialect.Dialect
     catalog: relay.RelayCatalog
     budget: relay.RetryBudget
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -125,13 +125,13 @@
         self.peers = peers.PeerConnections(reactor, options.host.peer_address)
         self.store = store_factory(self._on_store)
         self.metrics = _metrics.Metrics()
-        self.caller = _client.HttpCaller(reactor)
+        self.client = _client.HttpClient(reactor)
         self.budget = relay.RetryBudget(
             options.retry_ratio, options.retry_slack, options.retry_window_s
         )
         self.stages = _stage_service.StageService(
             reactor,
-            self.caller,
+            self.client,
             dialect,
             self.catalog,
             self.budget,
@@ -144,7 +144,7 @@
         self.context = _context.RelayContext(
             reactor,
             self.rng,
-            self.caller,
+            self.client,
             dialect,
             self.catalog,
             self.budget,
--- a/libs/ragwort_edge/ragwort_edge/_relay_call.py
+++ b/libs/ragwort_edge/ragwort_edge/_relay_call.py
@@ -336,7 +336,7 @@
         runner.state.on_dispatch()
         try:
             response = await _client.fetch(
-                context.caller,
+                context.client,
                 runner.address,
                 self._main_request(runner, None),
                 patience_s,
--- a/libs/ragwort_edge/ragwort_edge/_stage_owner.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_owner.py
@@ -46,7 +46,7 @@
     def __init__(
         self,
         reactor: Any,
-        caller: _client.HttpCaller,
+        client: _client.HttpClient,
         dialect: _dialect.Dialect,
         catalog: relay.RelayCatalog,
         budget: relay.RetryBudget,
@@ -58,7 +58,7 @@
     ) -> None:
         """Bind to what calls runners; on_outcomes takes this host's own."""
         self.reactor = reactor
-        self.caller = caller
+        self.client = client
         self.dialect = dialect
         self.catalog = catalog
         self.budget = budget
@@ -187,7 +187,7 @@
             self.room_checks[runner.name] = now + ROOM_CHECK_S
             request = self.dialect.room_request(runner.address)
             done = _client.fetch(
-                self.caller, runner.address, request, ROOM_CHECK_S
+                self.client, runner.address, request, ROOM_CHECK_S
             )
             done.addCallback(self._on_room, batcher, runner)
             done.addErrback(self._on_room_error, runner)
@@ -249,7 +249,7 @@
             piece.group.sends += 1
         self._log_call(service, batcher, call)
         done = _client.fetch(
-            self.caller, call.runner.address, request, call.timeout_s
+            self.client, call.runner.address, request, call.timeout_s
         )
         done.addCallbacks(
             self._on_answer,
@@ -467,7 +467,7 @@
         for address, handles in releases.items():
             request = self.dialect.release_request(address, handles)
             done = _client.fetch(
-                self.caller, address, request, RELEASE_TIMEOUT_S
+                self.client, address, request, RELEASE_TIMEOUT_S
             )
             # A result that is not freed goes by itself in a few seconds.
             done.addErrback(
--- a/libs/ragwort_edge/ragwort_edge/_stage_service.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_service.py
@@ -54,7 +54,7 @@
     def __init__(
         self,
         reactor: Any,
-        caller: _client.HttpCaller,
+        client: _client.HttpClient,
         dialect: _dialect.Dialect,
         catalog: relay.RelayCatalog,
         budget: relay.RetryBudget,
@@ -78,7 +78,7 @@
         self.waits = relay.QueueWaits()
         self.owner = _stage_owner.StageOwner(
             reactor,
-            caller,
+            client,
             dialect,
             catalog,
             budget,
--- a/libs/ragwort_edge/ragwort_edge/_stream.py
+++ b/libs/ragwort_edge/ragwort_edge/_stream.py
@@ -52,7 +52,7 @@
 
     def open(self, request: _messages.HttpRequest) -> None:
         """Send the request."""
-        self.open_call = self.context.caller.open(
+        self.open_call = self.context.client.open(
             self.runner.address, request, self
         )
         route = self.call.route
--- a/libs/ragwort_lab/ragwort_lab/_relay_world.py
+++ b/libs/ragwort_lab/ragwort_lab/_relay_world.py
@@ -67,10 +67,10 @@
         def send_peer(effect: model.SendPeerMessage) -> None:
             self._send_peer(name, effect)
 
-        caller: Any = self.network
+        client: Any = self.network
         stages = edge.StageService(
             self.clock,
-            caller,
+            client,
             dialect,
             catalog,
             budget,
@@ -83,7 +83,7 @@
         context = edge.RelayContext(
             self.clock,
             self.rng,
-            caller,
+            client,
             dialect,
             catalog,
             budget,
