--- a/features/steps/relay_fault_steps.py
+++ b/features/steps/relay_fault_steps.py
@@ -44,7 +44,7 @@
         _relay_call, 'HTTP_FAILED', 503
     ),
     'broken streams ended as whole': lambda: mock.patch.object(
-        _stream.StreamReader, 'on_problem', finish_broken
+        _stream.StreamReader, 'on_error', finish_broken
     ),
     'streams resumed from their beginning': lambda: mock.patch.object(
         relay.StreamProgress, 'accept', resume_at_start
--- a/features/steps/relay_http_steps.py
+++ b/features/steps/relay_http_steps.py
@@ -255,9 +255,9 @@
         """Take the end."""
         self.ends.append('whole')
 
-    def on_problem(self, problem: edge.CallError) -> None:
+    def on_error(self, problem: edge.CallError) -> None:
         """Take a problem."""
-        self.ends.append(str(problem.problem))
+        self.ends.append(str(problem.kind))
 
 
 @when('a runner responds with {what}')
--- a/libs/ragwort_edge/ragwort_edge/__init__.py
+++ b/libs/ragwort_edge/ragwort_edge/__init__.py
@@ -1,7 +1,7 @@
 """Twisted rim of an entry host that relays requests to runners."""
 
 from ragwort_edge._client import CallError
-from ragwort_edge._client import CallProblem
+from ragwort_edge._client import CallErrorKind
 from ragwort_edge._client import fetch
 from ragwort_edge._client import HttpClient
 from ragwort_edge._client import OpenCall
@@ -33,7 +33,7 @@
     'ADDRESS_TTL_S',
     'CallError',
     'CallFacts',
-    'CallProblem',
+    'CallErrorKind',
     'configure_logs',
     'Dialect',
     'end_to_end',
--- a/libs/ragwort_edge/ragwort_edge/_client.py
+++ b/libs/ragwort_edge/ragwort_edge/_client.py
@@ -22,7 +22,7 @@
 MAX_HEADER_BYTES = 64 * 1024
 
 
-class CallProblem(enum.StrEnum):
+class CallErrorKind(enum.StrEnum):
     """Why a call brought no whole response."""
 
     NOT_CONNECTED = 'not_connected'
@@ -34,10 +34,10 @@
 class CallError(model.RagwortError):
     """Raise when a call brought no whole response."""
 
-    def __init__(self, problem: CallProblem, detail: str) -> None:
+    def __init__(self, kind: CallErrorKind, detail: str) -> None:
         """Keep the problem beside its text."""
-        super().__init__(f'{problem}: {detail}')
-        self.problem = problem
+        super().__init__(f'{kind}: {detail}')
+        self.kind = kind
 
 
 class ResponseReader:
@@ -52,7 +52,7 @@
     def on_end(self) -> None:
         """Take note that the body is whole."""
 
-    def on_problem(self, problem: CallError) -> None:
+    def on_error(self, call_error: CallError) -> None:
         """Take note that no more will come; nothing follows."""
 
 
@@ -101,17 +101,17 @@
         if reason.check(error.ConnectionDone):
             self._feed(b'')
         if not self.is_over:
-            self._fail(CallProblem.CLOSED, reason.getErrorMessage())
+            self._fail(CallErrorKind.CLOSED, reason.getErrorMessage())
 
     def _feed(self, data: bytes) -> None:
         try:
             self.connection.receive_data(data)
             while not self.is_over and self._next_event():
                 pass
-        except h11.RemoteProtocolError as problem:
+        except h11.RemoteProtocolError as protocol_error:
             is_closed = not data
-            kind = CallProblem.CLOSED if is_closed else CallProblem.DAMAGED
-            self._fail(kind, str(problem))
+            kind = CallErrorKind.CLOSED if is_closed else CallErrorKind.DAMAGED
+            self._fail(kind, str(protocol_error))
 
     def _next_event(self) -> bool:
         event = self.connection.next_event()
@@ -128,7 +128,7 @@
             self._finish()
             self.reader.on_end()
         elif isinstance(event, h11.ConnectionClosed):
-            self._fail(CallProblem.CLOSED, 'closed without a response')
+            self._fail(CallErrorKind.CLOSED, 'closed without a response')
         return True
 
     def _finish(self) -> None:
@@ -136,11 +136,11 @@
         if self.transport is not None:
             self.transport.loseConnection()
 
-    def _fail(self, problem: CallProblem, detail: str) -> None:
+    def _fail(self, kind: CallErrorKind, detail: str) -> None:
         self.is_over = True
         if self.transport is not None:
             self.transport.abortConnection()
-        self.reader.on_problem(CallError(problem, detail))
+        self.reader.on_error(CallError(kind, detail))
 
 
 class _CallFactory(protocol.ClientFactory):
@@ -163,8 +163,10 @@
     ) -> None:
         if not self.is_cancelled:
             self.is_cancelled = True
-            self.reader.on_problem(
-                CallError(CallProblem.NOT_CONNECTED, reason.getErrorMessage())
+            self.reader.on_error(
+                CallError(
+                    CallErrorKind.NOT_CONNECTED, reason.getErrorMessage()
+                )
             )
 
 
@@ -238,8 +240,8 @@
             )
         )
 
-    def on_problem(self, problem: CallError) -> None:
-        self.done.errback(problem)
+    def on_error(self, call_error: CallError) -> None:
+        self.done.errback(call_error)
 
 
 def fetch(
@@ -256,10 +258,10 @@
 
     def cancel(_: 'defer.Deferred[_messages.HttpResponse]') -> None:
         call.cancel()
-        problem = CallProblem.CANCELLED
+        kind = CallErrorKind.CANCELLED
         if not call.was_sent:
-            problem = CallProblem.NOT_CONNECTED
-        done.errback(CallError(problem, f'no response in {timeout_s:.3f} s'))
+            kind = CallErrorKind.NOT_CONNECTED
+        done.errback(CallError(kind, f'no response in {timeout_s:.3f} s'))
 
     done: defer.Deferred[_messages.HttpResponse] = defer.Deferred(cancel)
     call = client.open(address, request, _WholeReader(done))
--- a/libs/ragwort_edge/ragwort_edge/_relay_call.py
+++ b/libs/ragwort_edge/ragwort_edge/_relay_call.py
@@ -342,7 +342,7 @@
                 patience_s,
             )
         except _client.CallError as error:
-            if error.problem == _client.CallProblem.NOT_CONNECTED:
+            if error.kind == _client.CallErrorKind.NOT_CONNECTED:
                 return _Send(relay.SendResult.NOT_SENT, detail=str(error))
             if self.is_timed_out or self.notes.get('gone'):
                 self.attempts.ran += 1
--- a/libs/ragwort_edge/ragwort_edge/_stage_owner.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_owner.py
@@ -364,10 +364,10 @@
     ) -> None:
         failure.trap(_client.CallError)
         now = self.reactor.seconds()
-        problem = failure.value.problem
-        if problem == _client.CallProblem.NOT_CONNECTED:
+        error_kind = failure.value.kind
+        if error_kind == _client.CallErrorKind.NOT_CONNECTED:
             kind = model.CallFailure.UNREACHABLE
-        elif problem == _client.CallProblem.CANCELLED:
+        elif error_kind == _client.CallErrorKind.CANCELLED:
             kind = model.CallFailure.SILENT
             call.runner.slowness = min(call.runner.slowness * 2, 16.0)
             call.runner.state.backoff_until = now + call.timeout_s
--- a/libs/ragwort_edge/ragwort_edge/_stream.py
+++ b/libs/ragwort_edge/ragwort_edge/_stream.py
@@ -149,15 +149,15 @@
         )
         self._end(relay.SendResult.DONE, '')
 
-    def on_problem(self, problem: _client.CallError) -> None:
+    def on_error(self, call_error: _client.CallError) -> None:
         """Take the loss of the connection."""
         self._wait(None)
-        if problem.problem == _client.CallProblem.NOT_CONNECTED:
-            self._end(relay.SendResult.NOT_SENT, str(problem))
+        if call_error.kind == _client.CallErrorKind.NOT_CONNECTED:
+            self._end(relay.SendResult.NOT_SENT, str(call_error))
         elif self.is_events:
-            self._end(relay.SendResult.BROKEN, str(problem))
+            self._end(relay.SendResult.BROKEN, str(call_error))
         else:
-            self._end(relay.SendResult.LOST, str(problem))
+            self._end(relay.SendResult.LOST, str(call_error))
 
     def _end(self, result: relay.SendResult, detail: str) -> None:
         if not self.done.called:
--- a/libs/ragwort_lab/ragwort_lab/_relay_fakes.py
+++ b/libs/ragwort_lab/ragwort_lab/_relay_fakes.py
@@ -216,9 +216,9 @@
             self.send('on_data', body)
         self.send('on_end', ends=True)
 
-    def fail(self, problem: edge.CallProblem) -> None:
+    def fail(self, kind: edge.CallErrorKind) -> None:
         """End the call without a whole response."""
-        self.send('on_problem', edge.CallError(problem, 'lab'), ends=True)
+        self.send('on_error', edge.CallError(kind, 'lab'), ends=True)
 
 
 class LabNetwork:
@@ -240,7 +240,7 @@
         call = LabCall(self.reactor, reader)
         runner = self.runners.get(address)
         if runner is None:
-            call.fail(edge.CallProblem.NOT_CONNECTED)
+            call.fail(edge.CallErrorKind.NOT_CONNECTED)
             return call
         call.sent = True
         self.reactor.callLater(ONE_WAY_S, self._arrive, runner, request, call)
@@ -300,7 +300,7 @@
         elif kind == 'gone':
             call.respond(409, ((b'not-run', b'1'),))
         elif kind == 'reset':
-            call.fail(edge.CallProblem.CLOSED)
+            call.fail(edge.CallErrorKind.CLOSED)
         elif kind == 'foreign':
             call.respond(HTTP_OK, ((b'echo', b'other'),), b'not yours')
         elif kind in ('events', 'cut'):
@@ -322,7 +322,7 @@
             call.send('on_end', ends=True)
         else:
             call.send('on_data', b'id: %d\nda' % (last + 1))
-            call.fail(edge.CallProblem.CLOSED)
+            call.fail(edge.CallErrorKind.CLOSED)
 
 
 class LabStageRunner(LabRunner):
