--- a/features/soak/runners.py
+++ b/features/soak/runners.py
@@ -198,7 +198,7 @@
         if self.mode == RunnerMode.FOREIGN:
             request_id = b'another'
         headers = ((b'request-id', request_id), SEAL, self._load(), *extra)
-        exchange.answer(edge.HttpResponse(status, headers, body))
+        exchange.respond(edge.HttpResponse(status, headers, body))
 
     def _load(self) -> tuple[bytes, bytes]:
         return b'server-load', b'%d,0,%d' % (self.running, SLOTS)
--- a/features/soak/store.py
+++ b/features/soak/store.py
@@ -189,6 +189,6 @@
 
 def _answer(exchange: edge.Exchange, status: int, body: Any) -> None:
     headers = ((b'content-type', b'application/json'),)
-    exchange.answer(
+    exchange.respond(
         edge.HttpResponse(status, headers, json.dumps(body).encode())
     )
--- a/features/steps/relay_http_steps.py
+++ b/features/steps/relay_http_steps.py
@@ -123,10 +123,10 @@
     context.heard = []
     context.server.protocol.dataReceived(HEAD + b'\r\n')
     (exchange,) = context.server.exchanges
-    exchange.on_gone = lambda: context.heard.append(True)
+    exchange.on_disconnect = lambda: context.heard.append(True)
     reason = failure.Failure(error.ConnectionDone())
     context.server.protocol.connectionLost(reason)
-    exchange.answer(edge.HttpResponse(200))
+    exchange.respond(edge.HttpResponse(200))
 
 
 @when('an answer is broken off after its head')
@@ -168,9 +168,9 @@
     """Answer the first and look for the second."""
     server = context.server
     assert len(server.exchanges) == 1
-    server.exchanges[0].answer(edge.HttpResponse(200, (), b'first'))
+    server.exchanges[0].respond(edge.HttpResponse(200, (), b'first'))
     assert len(server.exchanges) == 2
-    server.exchanges[1].answer(edge.HttpResponse(200, (), b'second'))
+    server.exchanges[1].respond(edge.HttpResponse(200, (), b'second'))
     written = server.transport.value()
     assert written.count(b'HTTP/1.1 200') == 2
     assert written.index(b'first') < written.index(b'second')
@@ -227,7 +227,7 @@
         for at in range(0, len(stream), step):
             server.protocol.dataReceived(stream[at : at + step])
             for exchange in server.exchanges:
-                exchange.answer(edge.HttpResponse(200))
+                exchange.respond(edge.HttpResponse(200))
         for exchange in server.exchanges:
             length = exchange.request.header(b'content-length') or b'0'
             if exchange.request.header(b'transfer-encoding') is None:
--- a/libs/ragwort_edge/ragwort_edge/_dialect.py
+++ b/libs/ragwort_edge/ragwort_edge/_dialect.py
@@ -117,7 +117,7 @@
     def handle_address(self, handle: str) -> str:
         """Return the address of the runner that keeps a result."""
 
-    def own_answer(
+    def error_response(
         self, status: int, retry_after_s: float | None, reason: str
     ) -> _messages.HttpResponse:
         """Return an answer of our own."""
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -483,18 +483,18 @@
             version=configuration.version if configuration else None,
         )
         retry_s = UNREADY_RETRY_S if status == HTTP_REFUSED else None
-        exchange.answer(self.dialect.own_answer(status, retry_s, reason))
+        exchange.respond(self.dialect.error_response(status, retry_s, reason))
 
     def _on_ready(self, exchange: _server.Exchange) -> None:
         status = HTTP_OK if self.is_ready else HTTP_REFUSED
-        exchange.answer(_messages.HttpResponse(status))
+        exchange.respond(_messages.HttpResponse(status))
 
     def _on_directory(self, exchange: _server.Exchange) -> None:
-        exchange.answer(self.directory(self, exchange.request))
+        exchange.respond(self.directory(self, exchange.request))
 
     def _on_metrics(self, exchange: _server.Exchange) -> None:
         headers = ((b'content-type', b'text/plain; version=0.0.4'),)
-        exchange.answer(
+        exchange.respond(
             _messages.HttpResponse(HTTP_OK, headers, self.metrics.text())
         )
 
--- a/libs/ragwort_edge/ragwort_edge/_relay_call.py
+++ b/libs/ragwort_edge/ragwort_edge/_relay_call.py
@@ -97,7 +97,7 @@
     def start(self) -> None:
         """Begin to serve the request."""
         reactor = self.context.reactor
-        self.exchange.on_gone = self._on_caller_gone
+        self.exchange.on_disconnect = self._on_caller_gone
         self.timer = reactor.callLater(
             max(self.left_s(), 0.0), self._on_timeout
         )
@@ -158,7 +158,9 @@
             self.exchange.abort()
             return
         dialect = self.context.dialect
-        self.exchange.answer(dialect.own_answer(status, retry_after_s, reason))
+        self.exchange.respond(
+            dialect.error_response(status, retry_after_s, reason)
+        )
 
     def _log(self, outcome: str, **fields: Any) -> None:
         context = self.context
@@ -386,7 +388,7 @@
     def _deliver(self, response: _messages.HttpResponse) -> None:
         self._observe_latency()
         self._log('answered', status=response.status)
-        self.exchange.answer(
+        self.exchange.respond(
             _messages.HttpResponse(
                 response.status,
                 _messages.end_to_end(response.headers),
--- a/libs/ragwort_edge/ragwort_edge/_server.py
+++ b/libs/ragwort_edge/ragwort_edge/_server.py
@@ -47,11 +47,11 @@
         """Bind a request to its connection."""
         self.server = server
         self.request = request
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.is_started = False
         self.is_over = False
 
-    def answer(self, response: _messages.HttpResponse) -> None:
+    def respond(self, response: _messages.HttpResponse) -> None:
         """Send a whole response."""
         if self.is_over:
             return
@@ -76,7 +76,7 @@
         """End the answer as whole."""
         if not self.is_over:
             self.is_over = True
-            self.server.on_answered()
+            self.server.end_response()
 
     def abort(self) -> None:
         """Close the connection so that the answer can't look whole."""
@@ -84,12 +84,12 @@
             self.is_over = True
             self.server.abort()
 
-    def lose(self) -> None:
+    def connection_lost(self) -> None:
         """Note that the caller is gone."""
         if not self.is_over:
             self.is_over = True
-            if self.on_gone is not None:
-                self.on_gone()
+            if self.on_disconnect is not None:
+                self.on_disconnect()
 
 
 class ServerProtocol(protocol.Protocol):
@@ -125,7 +125,7 @@
         self._set_timer(None)
         self.site.connections.discard(self)
         if self.exchange is not None:
-            self.exchange.lose()
+            self.exchange.connection_lost()
             self.exchange = None
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -243,7 +243,7 @@
         if data:
             self.transport.write(data)
 
-    def on_answered(self) -> None:
+    def end_response(self) -> None:
         """End the answer and take the next request if there is one."""
         if self.phase == _Phase.CLOSED:
             return
--- a/libs/ragwort_lab/ragwort_lab/_relay_fakes.py
+++ b/libs/ragwort_lab/ragwort_lab/_relay_fakes.py
@@ -134,7 +134,7 @@
         """Return the address of the runner that keeps a result."""
         return handle.partition('/')[0]
 
-    def own_answer(
+    def error_response(
         self, status: int, retry_after_s: float | None, reason: str
     ) -> edge.HttpResponse:
         """Return an answer of the relay's own."""
@@ -419,7 +419,7 @@
         """Wait for an answer."""
         self.clock = clock
         self.request = request
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.is_started = False
         self.is_over = False
         self.status: int | None = None
@@ -429,7 +429,7 @@
         self.started_at = clock.seconds()
         self.ended_at: float | None = None
 
-    def answer(self, response: edge.HttpResponse) -> None:
+    def respond(self, response: edge.HttpResponse) -> None:
         """Take a whole answer."""
         if not self.is_over:
             self.start(response.status, response.headers)
@@ -464,5 +464,5 @@
         """Close the connection as a caller that wants no answer."""
         if not self.is_over:
             self._end()
-            if self.on_gone is not None:
-                self.on_gone()
+            if self.on_disconnect is not None:
+                self.on_disconnect()
