--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -269,7 +269,7 @@
 @when('a request names its id, time, key, event, prompt and pieces')
 def read_facts(context: Any) -> None:
     """Read a request with everything."""
-    context.facts = platform.PlatformDialect().read_call(
+    context.facts = platform.PlatformDialect().read_request(
         request(
             (b'deadline-milliseconds', b'4500'),
             (b'authorization', b'Bearer k1'),
@@ -285,7 +285,7 @@
 def check_facts(context: Any) -> None:
     """Compare the facts."""
     prompt = (relay.PromptPart('5c1e', 800), relay.PromptPart('91bd', 410))
-    assert context.facts == edge.CallFacts(
+    assert context.facts == edge.RequestMetadata(
         'abc', 4.5, 'k1', 12, prompt, (2, 0, 1), '7c1e'
     )
 
@@ -301,7 +301,7 @@
     }
     context.error = None
     try:
-        platform.PlatformDialect().read_call(bad[mistake])
+        platform.PlatformDialect().read_request(bad[mistake])
     except model.InvalidInputError as error:
         context.error = error
 
@@ -334,7 +334,7 @@
     dialect = platform.PlatformDialect()
     call = edge.MainCall(
         incoming,
-        dialect.read_call(incoming),
+        dialect.read_request(incoming),
         'school',
         fleet_runner(),
         2.5,
--- a/features/steps/relay_call_steps.py
+++ b/features/steps/relay_call_steps.py
@@ -67,7 +67,9 @@
 
 def send(context: Any, host: int = 0, **fields: Any) -> None:
     """Send one request and let its time pass."""
-    facts = edge.CallFacts('request-1', fields.pop('deadline_s', ROUTE_S))
+    facts = edge.RequestMetadata(
+        'request-1', fields.pop('deadline_s', ROUTE_S)
+    )
     route = relay_decision_steps.make_route(timeout_s=ROUTE_S, **fields)
     world = context.world
     context.exchange = world.submit(world.hosts[host], route, facts)
@@ -162,7 +164,7 @@
 @when('a once request is sent on a route with a timeout of 1 s')
 def send_short(context: Any) -> None:
     """Send a request with more time than its route allows."""
-    facts = edge.CallFacts('request-1', 9.0)
+    facts = edge.RequestMetadata('request-1', 9.0)
     fields = KINDS['once'] | {'timeout_s': 1.0}
     route = relay_decision_steps.make_route(**fields)
     host = context.world.hosts[0]
@@ -260,7 +262,7 @@
 
 def send_staged(context: Any, host: int, pieces: tuple[int, ...]) -> None:
     """Send a request with stages."""
-    facts = edge.CallFacts(
+    facts = edge.RequestMetadata(
         'request-1', ROUTE_S, pieces=pieces, piece_key='key'
     )
     world = context.world
--- a/features/steps/relay_fault_steps.py
+++ b/features/steps/relay_fault_steps.py
@@ -141,7 +141,7 @@
         b'prompt-prefix pieces piece-key'
     ).split()
     headers = tuple((name, data) for name in names)
-    platform.PlatformDialect().read_call(
+    platform.PlatformDialect().read_request(
         edge.HttpRequest(b'GET', b'/', headers)
     )
 
--- a/features/support/relay_promises.py
+++ b/features/support/relay_promises.py
@@ -118,7 +118,7 @@
 
 def _submit(world: lab.RelayWorld, name: str, kind: str) -> Played:
     route = relay_decision_steps.make_route(timeout_s=ROUTE_S, **KINDS[kind])
-    facts = edge.CallFacts(name, ROUTE_S)
+    facts = edge.RequestMetadata(name, ROUTE_S)
     exchange = world.submit(world.hosts[0], route, facts)
     return Played(name, kind, route, exchange)
 
--- a/libs/ragwort_edge/ragwort_edge/__init__.py
+++ b/libs/ragwort_edge/ragwort_edge/__init__.py
@@ -7,11 +7,11 @@
 from ragwort_edge._client import OpenCall
 from ragwort_edge._client import ResponseReader
 from ragwort_edge._context import RelayContext
-from ragwort_edge._dialect import CallFacts
 from ragwort_edge._dialect import Dialect
 from ragwort_edge._dialect import MainCall
 from ragwort_edge._dialect import PieceReply
 from ragwort_edge._dialect import PieceResult
+from ragwort_edge._dialect import RequestMetadata
 from ragwort_edge._dialect import RunnerReply
 from ragwort_edge._host import ADDRESS_TTL_S
 from ragwort_edge._host import HostOptions
@@ -32,7 +32,6 @@
 __all__ = [
     'ADDRESS_TTL_S',
     'CallError',
-    'CallFacts',
     'CallErrorKind',
     'configure_logs',
     'Dialect',
@@ -53,6 +52,7 @@
     'RelayCall',
     'RelayContext',
     'RelayHost',
+    'RequestMetadata',
     'ResponseReader',
     'RunnerReply',
     'Site',
--- a/libs/ragwort_edge/ragwort_edge/_call_stages.py
+++ b/libs/ragwort_edge/ragwort_edge/_call_stages.py
@@ -48,7 +48,7 @@
     def __init__(
         self,
         context: _context.RelayContext,
-        facts: _dialect.CallFacts,
+        metadata: _dialect.RequestMetadata,
         route: relay.Route,
         configuration: relay.RelayConfiguration,
         times: StageTimes,
@@ -59,7 +59,7 @@
         likely_domain returns where the main call will likely run.
         """
         self.context = context
-        self.facts = facts
+        self.metadata = metadata
         self.route = route
         self.configuration = configuration
         self.times = times
@@ -73,10 +73,10 @@
         """Return a run with nothing made; raise InvalidInputError."""
         try:
             return relay.StageRun(
-                self.facts.request_id,
+                self.metadata.request_id,
                 self.route.stages,
-                self.facts.pieces,
-                self.facts.piece_key,
+                self.metadata.pieces,
+                self.metadata.piece_key,
             )
         except ValueError as error:
             raise model.InvalidInputError(str(error)) from None
@@ -107,7 +107,7 @@
 
     @property
     def _first_event_s(self) -> float:
-        return relay.first_event_s(self.facts.prompt)
+        return relay.first_event_s(self.metadata.prompt)
 
     def _usual_s(self, run: relay.StageRun) -> list[float]:
         return relay.typical_stage_s(run, self.configuration.services)
--- a/libs/ragwort_edge/ragwort_edge/_dialect.py
+++ b/libs/ragwort_edge/ragwort_edge/_dialect.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallFacts:
+class RequestMetadata:
     """What a caller says of its request.
 
     deadline_s counts from the arrival; last_event is the number of the
@@ -37,7 +37,7 @@
     """A call as it is sent to one runner."""
 
     request: _messages.HttpRequest
-    facts: CallFacts
+    metadata: RequestMetadata
     workspace: str | None
     runner: relay.FleetRunner
     left_s: float
@@ -82,7 +82,7 @@
 class Dialect(relay.ObjectDecoder, Protocol):
     """Reads and writes a platform's messages."""
 
-    def read_call(self, request: _messages.HttpRequest) -> CallFacts:
+    def read_request(self, request: _messages.HttpRequest) -> RequestMetadata:
         """Return what a request says; raise InvalidInputError."""
 
     def main_request(self, call: MainCall) -> _messages.HttpRequest:
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -435,7 +435,7 @@
             return
         request = exchange.request
         try:
-            facts = self.dialect.read_call(request)
+            metadata = self.dialect.read_request(request)
         except model.InvalidInputError as error:
             self._turn_away(exchange, HTTP_BAD_REQUEST, str(error))
             return
@@ -443,21 +443,23 @@
         name = host.rpartition(':')[0] if ':' in host else host
         route = configuration.find_route(name, request.path)
         if route is None:
-            self._turn_away(exchange, HTTP_NOT_FOUND, 'no such route', facts)
+            self._turn_away(
+                exchange, HTTP_NOT_FOUND, 'no such route', metadata
+            )
             return
         workspace = None
         if configuration.workspaces and not route.is_public:
-            key = facts.access_key or ''
+            key = metadata.access_key or ''
             workspace = configuration.workspaces_by_key.get(key)
             if workspace is None:
                 self._turn_away(
-                    exchange, HTTP_UNAUTHORIZED, 'unknown key', facts
+                    exchange, HTTP_UNAUTHORIZED, 'unknown key', metadata
                 )
                 return
         call = _relay_call.RelayCall(
             self.context,
             exchange,
-            facts,
+            metadata,
             route,
             workspace,
             configuration,
@@ -471,13 +473,13 @@
         exchange: _server.Exchange,
         status: int,
         reason: str,
-        facts: _dialect.CallFacts | None = None,
+        metadata: _dialect.RequestMetadata | None = None,
     ) -> None:
         configuration = self.catalog.configuration
         self.metrics.rejected.labels(status).inc()
         self.logger.info(
             'turned-away',
-            request=facts.request_id if facts else None,
+            request=metadata.request_id if metadata else None,
             status=status,
             reason=reason,
             version=configuration.version if configuration else None,
--- a/libs/ragwort_edge/ragwort_edge/_relay_call.py
+++ b/libs/ragwort_edge/ragwort_edge/_relay_call.py
@@ -45,7 +45,7 @@
         self,
         context: _context.RelayContext,
         exchange: _server.Exchange,
-        facts: _dialect.CallFacts,
+        metadata: _dialect.RequestMetadata,
         route: relay.Route,
         workspace: relay.Workspace | None,
         configuration: relay.RelayConfiguration,
@@ -54,15 +54,15 @@
         """Bind a request to its route; nothing is done yet."""
         self.context = context
         self.exchange = exchange
-        self.facts = facts
+        self.metadata = metadata
         self.route = route
         self.workspace = workspace
         self.configuration = configuration
         self.on_end = on_end
         self.started_at = context.reactor.seconds()
         limit_s = route.timeout_s
-        if facts.deadline_s is not None:
-            limit_s = min(limit_s, facts.deadline_s)
+        if metadata.deadline_s is not None:
+            limit_s = min(limit_s, metadata.deadline_s)
         self.ends_at = self.started_at + limit_s - ANSWER_MARGIN_S
         self.attempts = relay.Attempts(route)
         self.running: Any = None
@@ -71,7 +71,7 @@
         self.notes: dict[str, Any] = {}
         self.stages = _call_stages.CallStages(
             context,
-            facts,
+            metadata,
             route,
             configuration,
             _call_stages.StageTimes(
@@ -167,7 +167,7 @@
         context.metrics.answers.labels(self.route.name, outcome).inc()
         context.logger.info(
             'request',
-            request=self.facts.request_id,
+            request=self.metadata.request_id,
             route=self.route.name,
             outcome=outcome,
             version=self.configuration.version,
@@ -184,7 +184,7 @@
     async def _run(self) -> None:
         if self.route.stages:
             await self._run_stages()
-        service = self.route.service_for(self.facts.request_id)
+        service = self.route.service_for(self.metadata.request_id)
         self.notes['service'] = service
         self.context.budget.on_request(service, self.context.reactor.seconds())
         if self.route.kind == relay.CallKind.STREAM:
@@ -207,7 +207,7 @@
 
     def _likely_domain(self) -> str:
         """Return the failure domain where the main call will likely run."""
-        service = self.route.service_for(self.facts.request_id)
+        service = self.route.service_for(self.metadata.request_id)
         runner = self._choose(service, set())
         if runner is None:
             return self.context.failure_domain
@@ -224,10 +224,10 @@
         fresh = [r for r in usable if r.name not in tried] or usable
         if not fresh:
             return None
-        if self.facts.prompt:
+        if self.metadata.prompt:
             runner, estimates = relay.choose_by_prompt_cache(
                 fresh,
-                self.facts.prompt,
+                self.metadata.prompt,
                 context.catalog.prompt_cache,
                 self.stages.input_bytes(),
                 now,
@@ -260,7 +260,7 @@
         return self.context.dialect.main_request(
             _dialect.MainCall(
                 self.exchange.request,
-                self.facts,
+                self.metadata,
                 workspace,
                 runner,
                 self.left_s(),
@@ -289,7 +289,7 @@
             runner.state.on_failure(failure, now)
             self.context.logger.info(
                 'send-failed',
-                request=self.facts.request_id,
+                request=self.metadata.request_id,
                 service=service,
                 runner=runner.name,
                 result=send.result,
@@ -363,7 +363,7 @@
         """Return what a whole response means for the call."""
         now = self.context.reactor.seconds()
         reply = self.context.dialect.read_reply(
-            response, self.facts.request_id
+            response, self.metadata.request_id
         )
         if reply.load is not None:
             runner.state.on_report(reply.load, now)
@@ -411,7 +411,7 @@
         return _Send(result, detail=detail)
 
     async def _run_stream(self, service: str) -> None:
-        progress = relay.StreamProgress(self.facts.last_event)
+        progress = relay.StreamProgress(self.metadata.last_event)
         tried: set[str] = set()
         while True:
             runner = self._take_runner(service, tried)
@@ -446,7 +446,7 @@
         last_event = progress.last_event_id
         reader = _stream.StreamReader(self, runner, progress)
         runner.state.on_dispatch()
-        context.catalog.prompt_cache.record(runner.name, self.facts.prompt)
+        context.catalog.prompt_cache.record(runner.name, self.metadata.prompt)
         reader.open(self._main_request(runner, last_event))
         try:
             ended: _Send = await reader.done
--- a/libs/ragwort_edge/ragwort_edge/_stream.py
+++ b/libs/ragwort_edge/ragwort_edge/_stream.py
@@ -84,7 +84,7 @@
         self.head = response
         kind = response.header(b'content-type') or b''
         reply = self.context.dialect.read_reply(
-            response, self.call.facts.request_id
+            response, self.call.metadata.request_id
         )
         if reply.load is not None:
             self.runner.state.on_report(
--- a/libs/ragwort_lab/ragwort_lab/_relay_fakes.py
+++ b/libs/ragwort_lab/ragwort_lab/_relay_fakes.py
@@ -55,14 +55,16 @@
         except (ValueError, KeyError, TypeError) as error:
             raise model.ConfigurationError(f'{name}: {error}') from None
 
-    def read_call(self, request: edge.HttpRequest) -> edge.CallFacts:
+    def read_request(self, request: edge.HttpRequest) -> edge.RequestMetadata:
         """Return the facts as the caller stated them."""
-        return edge.CallFacts(**json.loads(request.header(b'facts') or b'{}'))
+        return edge.RequestMetadata(
+            **json.loads(request.header(b'facts') or b'{}')
+        )
 
     def main_request(self, call: edge.MainCall) -> edge.HttpRequest:
         """Return the request with what a runner needs to know."""
         told = {
-            'id': call.facts.request_id,
+            'id': call.metadata.request_id,
             'runner': call.runner.name,
             'left_s': call.left_s,
             'inputs': call.inputs,
--- a/libs/ragwort_lab/ragwort_lab/_relay_world.py
+++ b/libs/ragwort_lab/ragwort_lab/_relay_world.py
@@ -173,7 +173,7 @@
             host.catalog.configuration = configuration
 
     def submit(
-        self, host: LabHost, route: relay.Route, facts: edge.CallFacts
+        self, host: LabHost, route: relay.Route, facts: edge.RequestMetadata
     ) -> fakes.LabExchange:
         """Let a caller send a request to a host."""
         configuration = host.catalog.configuration
