--- a/features/steps/relay_fault_steps.py
+++ b/features/steps/relay_fault_steps.py
@@ -14,7 +14,7 @@
 from features.steps import platform_steps
 from features.support import relay_promises
 import ragwort_edge as edge
-from ragwort_edge import _relay_call
+from ragwort_edge import _request_handler
 from ragwort_edge import _stream
 import ragwort_model as model
 import ragwort_platform as platform
@@ -26,8 +26,8 @@
 
 def finish_broken(reader: _stream.StreamReader, problem: Any) -> None:
     """End a broken stream as if it were whole."""
-    reader._wait(None)
-    reader._end(relay.SendResult.DONE, '')
+    reader._set_timer(None)
+    reader._finish(relay.SendResult.DONE, '')
 
 
 def resume_at_start(progress: relay.StreamProgress, event: Any) -> bool:
@@ -41,7 +41,7 @@
         relay.Attempts, 'may_send_again', lambda *_: True
     ),
     'refusals of calls that ran': lambda: mock.patch.object(
-        _relay_call, 'HTTP_FAILED', 503
+        _request_handler, 'HTTP_BAD_GATEWAY', 503
     ),
     'broken streams ended as whole': lambda: mock.patch.object(
         _stream.StreamReader, 'on_error', finish_broken
@@ -50,7 +50,7 @@
         relay.StreamProgress, 'accept', resume_at_start
     ),
     'calls that go on without their caller': lambda: mock.patch.object(
-        _relay_call.RelayCall, '_on_caller_gone', lambda *_: None
+        _request_handler.RequestHandler, '_on_disconnect', lambda *_: None
     ),
 }
 CASES = 'each fault meets each kind of request, on the first or every runner'
--- a/libs/ragwort_edge/ragwort_edge/__init__.py
+++ b/libs/ragwort_edge/ragwort_edge/__init__.py
@@ -24,7 +24,7 @@
 from ragwort_edge._messages import HttpRequest
 from ragwort_edge._messages import HttpResponse
 from ragwort_edge._metrics import Metrics
-from ragwort_edge._relay_call import RelayCall
+from ragwort_edge._request_handler import RequestHandler
 from ragwort_edge._server import Exchange
 from ragwort_edge._server import Site
 from ragwort_edge._stage_service import StageService
@@ -49,9 +49,9 @@
     'OpenCall',
     'PieceReply',
     'PieceResult',
-    'RelayCall',
     'RelayContext',
     'RelayHost',
+    'RequestHandler',
     'RequestMetadata',
     'ResponseReader',
     'RunnerReply',
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -11,7 +11,7 @@
 from ragwort_edge import _dialect
 from ragwort_edge import _messages
 from ragwort_edge import _metrics
-from ragwort_edge import _relay_call
+from ragwort_edge import _request_handler
 from ragwort_edge import _server
 from ragwort_edge import _stage_service
 import ragwort_membership as membership
@@ -49,7 +49,7 @@
 HTTP_BAD_REQUEST = 400
 HTTP_UNAUTHORIZED = 401
 HTTP_NOT_FOUND = 404
-HTTP_REFUSED = 503
+HTTP_UNAVAILABLE = 503
 
 
 class Store:
@@ -153,7 +153,7 @@
             logger,
             options.host.failure_domain,
         )
-        self.open: set[_relay_call.RelayCall] = set()
+        self.open_requests: set[_request_handler.RequestHandler] = set()
         self.front = _server.Site(
             reactor, self._limits, self._on_call, self._on_rejected
         )
@@ -215,7 +215,7 @@
         now = self.reactor.seconds()
         self.leaving_at = now
         self.front.is_closing = True
-        self.logger.info('leaving', open=len(self.open))
+        self.logger.info('leaving', open=len(self.open_requests))
         self.members.set_accepting(False, now)
         for message in self.members.announce(time.time()):
             self._send_peer(message)
@@ -229,13 +229,13 @@
             self.front_port.stopListening()
             self.front_port = None
         self.front.close_idle()
-        idle = not self.open and self.stages.is_idle
+        idle = not self.open_requests and self.stages.is_idle
         if idle or age_s >= self.options.grace_s - 2 * TICK_S:
             self._stop(now)
 
     def _stop(self, now: float) -> None:
         self.is_stopped = True
-        self.logger.info('stop', open=len(self.open))
+        self.logger.info('stop', open=len(self.open_requests))
         for message in self.members.leave(now, time.time()):
             self._send_peer(message)
         self.reactor.callLater(TICK_S, self.on_stopped)
@@ -431,7 +431,7 @@
     def _on_call(self, exchange: _server.Exchange) -> None:
         configuration = self.catalog.configuration
         if configuration is None or not self.knows_enough:
-            self._turn_away(exchange, HTTP_REFUSED, 'no configuration yet')
+            self._turn_away(exchange, HTTP_UNAVAILABLE, 'no configuration yet')
             return
         request = exchange.request
         try:
@@ -456,17 +456,17 @@
                     exchange, HTTP_UNAUTHORIZED, 'unknown key', metadata
                 )
                 return
-        call = _relay_call.RelayCall(
+        handler = _request_handler.RequestHandler(
             self.context,
             exchange,
             metadata,
             route,
             workspace,
             configuration,
-            self.open.discard,
+            self.open_requests.discard,
         )
-        self.open.add(call)
-        call.start()
+        self.open_requests.add(handler)
+        handler.start()
 
     def _turn_away(
         self,
@@ -484,11 +484,11 @@
             reason=reason,
             version=configuration.version if configuration else None,
         )
-        retry_s = UNREADY_RETRY_S if status == HTTP_REFUSED else None
+        retry_s = UNREADY_RETRY_S if status == HTTP_UNAVAILABLE else None
         exchange.respond(self.dialect.error_response(status, retry_s, reason))
 
     def _on_ready(self, exchange: _server.Exchange) -> None:
-        status = HTTP_OK if self.is_ready else HTTP_REFUSED
+        status = HTTP_OK if self.is_ready else HTTP_UNAVAILABLE
         exchange.respond(_messages.HttpResponse(status))
 
     def _on_directory(self, exchange: _server.Exchange) -> None:
--- a/libs/ragwort_edge/ragwort_edge/_relay_call.py
+++ b/libs/ragwort_edge/ragwort_edge/_request_handler.py
@@ -6,11 +6,11 @@
 
 from twisted.internet import defer
 
-from ragwort_edge import _call_stages
 from ragwort_edge import _client
 from ragwort_edge import _context
 from ragwort_edge import _dialect
 from ragwort_edge import _messages
+from ragwort_edge import _request_stages
 from ragwort_edge import _server
 from ragwort_edge import _stream
 import ragwort_model as model
@@ -23,9 +23,9 @@
 PATIENCE_SHARE = 0.45
 MIN_PATIENCE_S = 0.7
 HTTP_BAD_REQUEST = 400
-HTTP_REFUSED = 503
-HTTP_FAILED = 502
-HTTP_TIMEOUT = 504
+HTTP_UNAVAILABLE = 503
+HTTP_BAD_GATEWAY = 502
+HTTP_GATEWAY_TIMEOUT = 504
 
 
 @dataclasses.dataclass(slots=True)
@@ -38,7 +38,7 @@
     is_input_gone: bool = False
 
 
-class RelayCall:
+class RequestHandler:
     """A request from admission to its end."""
 
     def __init__(
@@ -49,7 +49,7 @@
         route: relay.Route,
         workspace: relay.Workspace | None,
         configuration: relay.RelayConfiguration,
-        on_end: Callable[['RelayCall'], None],
+        on_end: Callable[['RequestHandler'], None],
     ) -> None:
         """Bind a request to its route; nothing is done yet."""
         self.context = context
@@ -69,12 +69,12 @@
         self.timer: Any = None
         self.is_timed_out = False
         self.notes: dict[str, Any] = {}
-        self.stages = _call_stages.CallStages(
+        self.stages = _request_stages.RequestStages(
             context,
             metadata,
             route,
             configuration,
-            _call_stages.StageTimes(
+            _request_stages.RequestTimes(
                 self.started_at,
                 self.started_at + route.target_s,
                 self.ends_at,
@@ -97,7 +97,7 @@
     def start(self) -> None:
         """Begin to serve the request."""
         reactor = self.context.reactor
-        self.exchange.on_disconnect = self._on_caller_gone
+        self.exchange.on_disconnect = self._on_disconnect
         self.timer = reactor.callLater(
             max(self.left_s(), 0.0), self._on_timeout
         )
@@ -105,7 +105,7 @@
         self.running.addErrback(self._on_failure)
         self.running.addBoth(self._finish)
 
-    def _on_caller_gone(self) -> None:
+    def _on_disconnect(self) -> None:
         self.notes['gone'] = True
         self.running.cancel()
 
@@ -129,23 +129,23 @@
         else:
             detail = failure.getTraceback()[-1500:]
             self.context.logger.error('defect', detail=detail)
-            self._fail(HTTP_FAILED, 'internal error')
+            self._fail(HTTP_BAD_GATEWAY, 'internal error')
 
     def _on_stopped(self) -> None:
         if self.notes.get('gone'):
             self._log('caller-gone')
         elif self.attempts.ran:
-            self._fail(HTTP_TIMEOUT, 'no answer in time')
+            self._fail(HTTP_GATEWAY_TIMEOUT, 'no answer in time')
         else:
             refusal = self.context.refusal('no runner in time')
             self._refuse(str(refusal), refusal.retry_after_s)
 
     def _refuse(self, reason: str, retry_after_s: float) -> None:
         if self.attempts.ran:
-            self._fail(HTTP_FAILED, reason)
+            self._fail(HTTP_BAD_GATEWAY, reason)
             return
         self._log('refused', reason=reason, retry_after_s=retry_after_s)
-        self._answer(HTTP_REFUSED, retry_after_s, reason)
+        self._answer(HTTP_UNAVAILABLE, retry_after_s, reason)
 
     def _fail(self, status: int, reason: str) -> None:
         self._log('failed', status=status, reason=reason)
@@ -310,7 +310,7 @@
             elif step == relay.NextStep.REFUSE:
                 raise self.context.refusal(send.detail)
             else:
-                self._fail(HTTP_FAILED, send.detail)
+                self._fail(HTTP_BAD_GATEWAY, send.detail)
             return
 
     def _next_step(self, service: str, send: _Send) -> relay.NextStep:
@@ -432,11 +432,11 @@
                 ):
                     self._deliver(send.response)
                 else:
-                    self._fail(HTTP_FAILED, send.detail)
+                    self._fail(HTTP_BAD_GATEWAY, send.detail)
             elif step == relay.NextStep.REFUSE:
                 raise self.context.refusal(send.detail)
             else:
-                self._fail(HTTP_FAILED, send.detail)
+                self._fail(HTTP_BAD_GATEWAY, send.detail)
             return
 
     async def _send_stream(
--- a/libs/ragwort_edge/ragwort_edge/_call_stages.py
+++ b/libs/ragwort_edge/ragwort_edge/_request_stages.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StageTimes:
+class RequestTimes:
     """When a request came, what it aims at, and when its time ends.
 
     In seconds of the host's clock; rank 0 goes first.
@@ -42,7 +42,7 @@
     rank: int
 
 
-class CallStages:
+class RequestStages:
     """Makes the stages of one request."""
 
     def __init__(
@@ -51,7 +51,7 @@
         metadata: _dialect.RequestMetadata,
         route: relay.Route,
         configuration: relay.RelayConfiguration,
-        times: StageTimes,
+        times: RequestTimes,
         likely_domain: Callable[[], str],
     ) -> None:
         """Start with nothing made.
--- a/libs/ragwort_edge/ragwort_edge/_stream.py
+++ b/libs/ragwort_edge/ragwort_edge/_stream.py
@@ -10,7 +10,7 @@
 import ragwort_relay as relay
 
 if TYPE_CHECKING:
-    from ragwort_edge import _relay_call
+    from ragwort_edge import _request_handler
 
 # Silence within a stream after which a resumable one goes on elsewhere,
 # as a multiple of the longest pause that counts as in time.
@@ -27,13 +27,13 @@
 
     def __init__(
         self,
-        call: '_relay_call.RelayCall',
+        handler: '_request_handler.RequestHandler',
         runner: relay.FleetRunner,
         progress: relay.StreamProgress,
     ) -> None:
-        """Read for call from runner, behind what progress has."""
-        self.call = call
-        self.context = call.context
+        """Read for handler from runner, behind what progress has."""
+        self.handler = handler
+        self.context = handler.context
         self.runner = runner
         self.progress = progress
         self.splitter = relay.EventSplitter()
@@ -55,11 +55,11 @@
         self.open_call = self.context.client.open(
             self.runner.address, request, self
         )
-        route = self.call.route
-        if route.may_repeat and self.call.attempts.ran + 1 < route.attempts:
-            self._wait(max(FIRST_FACTOR * route.target_s, MIN_FIRST_S))
+        route = self.handler.route
+        if route.may_repeat and self.handler.attempts.ran + 1 < route.attempts:
+            self._set_timer(max(FIRST_FACTOR * route.target_s, MIN_FIRST_S))
 
-    def _wait(self, delay_s: float | None) -> None:
+    def _set_timer(self, delay_s: float | None) -> None:
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = None
@@ -71,11 +71,11 @@
     def _on_silence(self) -> None:
         self.timer = None
         self.stop()
-        self._end(relay.SendResult.BROKEN, 'runner is silent')
+        self._finish(relay.SendResult.BROKEN, 'runner is silent')
 
     def stop(self) -> None:
         """Close the connection; nothing more is read."""
-        self._wait(None)
+        self._set_timer(None)
         if self.open_call is not None:
             self.open_call.cancel()
 
@@ -84,7 +84,7 @@
         self.head = response
         kind = response.header(b'content-type') or b''
         reply = self.context.dialect.read_reply(
-            response, self.call.metadata.request_id
+            response, self.handler.metadata.request_id
         )
         if reply.load is not None:
             self.runner.state.on_report(
@@ -109,27 +109,27 @@
             ]
         except ValueError as error:
             self.stop()
-            self._end(relay.SendResult.BROKEN, str(error))
+            self._finish(relay.SendResult.BROKEN, str(error))
             return
         if events:
             self._forward(b''.join(event.data for event in events))
 
     def _forward(self, data: bytes) -> None:
-        exchange = self.call.exchange
+        exchange = self.handler.exchange
         if not exchange.is_started and not exchange.is_over:
             assert self.head is not None
-            self.call.on_first_event()
+            self.handler.on_first_event()
             exchange.start(
                 self.head.status, _messages.end_to_end(self.head.headers)
             )
         exchange.write(data)
-        route = self.call.route
+        route = self.handler.route
         if route.may_repeat:
-            self._wait(max(GAP_FACTOR * route.max_gap_s, MIN_GAP_S))
+            self._set_timer(max(GAP_FACTOR * route.max_gap_s, MIN_GAP_S))
 
     def on_end(self) -> None:
         """Take the end of the response."""
-        self._wait(None)
+        self._set_timer(None)
         assert self.head is not None
         took_s = self.context.reactor.seconds() - self.opened_at
         if not self.is_events:
@@ -137,28 +137,30 @@
                 self.head.status, self.head.headers, b''.join(self.body)
             )
             if not self.done.called:
-                self.done.callback(self.call.judge(self.runner, whole, took_s))
+                self.done.callback(
+                    self.handler.judge(self.runner, whole, took_s)
+                )
             return
         if self.splitter.buffer.strip():
-            self._end(relay.SendResult.BROKEN, 'ends within an event')
+            self._finish(relay.SendResult.BROKEN, 'ends within an event')
             return
-        if not self.call.exchange.is_started:
+        if not self.handler.exchange.is_started:
             self._forward(b'')
         self.runner.state.on_result(
             took_s, took_s, self.context.reactor.seconds()
         )
-        self._end(relay.SendResult.DONE, '')
+        self._finish(relay.SendResult.DONE, '')
 
     def on_error(self, call_error: _client.CallError) -> None:
         """Take the loss of the connection."""
-        self._wait(None)
+        self._set_timer(None)
         if call_error.kind == _client.CallErrorKind.NOT_CONNECTED:
-            self._end(relay.SendResult.NOT_SENT, str(call_error))
+            self._finish(relay.SendResult.NOT_SENT, str(call_error))
         elif self.is_events:
-            self._end(relay.SendResult.BROKEN, str(call_error))
+            self._finish(relay.SendResult.BROKEN, str(call_error))
         else:
-            self._end(relay.SendResult.LOST, str(call_error))
+            self._finish(relay.SendResult.LOST, str(call_error))
 
-    def _end(self, result: relay.SendResult, detail: str) -> None:
+    def _finish(self, result: relay.SendResult, detail: str) -> None:
         if not self.done.called:
-            self.done.callback(self.call.send_ended(result, detail))
+            self.done.callback(self.handler.send_ended(result, detail))
--- a/libs/ragwort_lab/ragwort_lab/_relay_world.py
+++ b/libs/ragwort_lab/ragwort_lab/_relay_world.py
@@ -34,7 +34,7 @@
     stages: edge.StageService
     context: edge.RelayContext
     is_alive: bool = True
-    open: set[edge.RelayCall] = dataclasses.field(default_factory=set)
+    open: set[edge.RequestHandler] = dataclasses.field(default_factory=set)
 
 
 class RelayWorld:
@@ -181,7 +181,7 @@
         request = edge.HttpRequest(b'POST', b'/job/1', (), b'body')
         exchange = fakes.LabExchange(self.clock, request)
         bound: Any = exchange
-        call = edge.RelayCall(
+        handler = edge.RequestHandler(
             host.context,
             bound,
             facts,
@@ -190,8 +190,8 @@
             configuration,
             host.open.discard,
         )
-        host.open.add(call)
-        call.start()
+        host.open.add(handler)
+        handler.start()
         return exchange
 
     def run(self, seconds: float) -> None:
