--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -394,7 +394,7 @@
     elif meaning == 'not run':
         assert reply.is_not_run
     else:
-        assert reply.is_own == (meaning == 'own')
+        assert reply.is_authentic == (meaning == 'own')
         assert not reply.is_not_run
 
 
@@ -412,7 +412,7 @@
     dialect = platform.PlatformDialect()
     found = dialect.read_stage_reply(context.reply, 3)
     assert [f.handle for f in found] == ['a/1', None, None]
-    assert found[1].result == edge.PieceResult.ROOM
+    assert found[1].result == edge.PieceResult.NO_ROOM
     assert found[2].result == edge.PieceResult.ERROR
     try:
         dialect.read_stage_reply(context.reply, 2)
--- a/libs/ragwort_edge/ragwort_edge/_dialect.py
+++ b/libs/ragwort_edge/ragwort_edge/_dialect.py
@@ -50,11 +50,11 @@
 class RunnerReply:
     """What the head of a runner's response says.
 
-    is_own tells whether it answers the call it is read for and is sealed
+    is_authentic tells whether it answers the call it is read for and is sealed
     by a runner; an encoded body is not the runner's own.
     """
 
-    is_own: bool
+    is_authentic: bool
     is_not_run: bool
     is_misdirected: bool
     is_input_gone: bool
@@ -66,8 +66,8 @@
 
     MADE = 'made'
     LATE = 'late'
-    GONE = 'gone'
-    ROOM = 'room'
+    INPUT_GONE = 'gone'
+    NO_ROOM = 'room'
     ERROR = 'error'
 
 
--- a/libs/ragwort_edge/ragwort_edge/_request_handler.py
+++ b/libs/ragwort_edge/ragwort_edge/_request_handler.py
@@ -374,7 +374,7 @@
                 detail=f'status {response.status}',
                 is_input_gone=reply.is_input_gone,
             )
-        if not reply.is_own:
+        if not reply.is_authentic:
             return _Send(relay.SendResult.LOST, detail='not the answer')
         if response.status >= 500:
             return _Send(
--- a/libs/ragwort_edge/ragwort_edge/_request_stages.py
+++ b/libs/ragwort_edge/ragwort_edge/_request_stages.py
@@ -22,7 +22,7 @@
 MAX_HOLD_S = 0.1
 # How often all stages are made when results vanish with their runners.
 MAX_ROUNDS = 2
-GONE = str(_dialect.PieceResult.GONE)
+INPUT_GONE = str(_dialect.PieceResult.INPUT_GONE)
 
 
 class ResultsGoneError(model.RagwortError):
@@ -266,7 +266,7 @@
     def _stage_error(
         self, stage: int, reasons: list[str | None]
     ) -> model.RagwortError:
-        if GONE in reasons:
+        if INPUT_GONE in reasons:
             return ResultsGoneError(f'stage {stage}')
         return self.context.refusal(f'stage {stage}: {reasons[0]}')
 
--- a/libs/ragwort_edge/ragwort_edge/_stage_owner.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_owner.py
@@ -334,12 +334,12 @@
                     result=result.result,
                     wanted=group_id in self.owned,
                 )
-            retry = (_dialect.PieceResult.ROOM, _dialect.PieceResult.ERROR)
+            retry = (_dialect.PieceResult.NO_ROOM, _dialect.PieceResult.ERROR)
             if group_id not in self.owned:
                 if result.handle:
                     unwanted.append(result.handle)
             elif result.result in retry:
-                if result.result == _dialect.PieceResult.ROOM:
+                if result.result == _dialect.PieceResult.NO_ROOM:
                     size = piece.group.result_bytes
                     batcher.on_storage_full(call, size, self.reactor.seconds())
                 again.append(piece)
--- a/libs/ragwort_edge/ragwort_edge/_stream.py
+++ b/libs/ragwort_edge/ragwort_edge/_stream.py
@@ -92,7 +92,7 @@
             )
         self.is_events = (
             response.status == 200
-            and reply.is_own
+            and reply.is_authentic
             and kind.startswith(EVENT_STREAM)
         )
 
