--- a/features/steps/relay_call_steps.py
+++ b/features/steps/relay_call_steps.py
@@ -257,7 +257,9 @@
     world = context.world
     assert arrivals(context), 'the main call runs not yet'
     world.hosts[0].is_alive = False
-    world.hosts[1].stages.avoided['host-0'] = world.clock.seconds() + 9.0
+    world.hosts[1].stages.avoided_owners['host-0'] = (
+        world.clock.seconds() + 9.0
+    )
 
 
 def send_staged(context: Any, host: int, pieces: tuple[int, ...]) -> None:
@@ -277,8 +279,8 @@
 def ask_again(context: Any) -> None:
     """Let the asking host ask about every group once more."""
     stages = context.world.hosts[1].stages
-    for wanted in list(stages.wanted.values()):
-        stages._check_owner(wanted.group.group_id)
+    for pending in list(stages.pending.values()):
+        stages._check_owner(pending.group.group_id)
 
 
 @when('a staged request is sent from another host')
--- a/libs/ragwort_edge/ragwort_edge/_request_stages.py
+++ b/libs/ragwort_edge/ragwort_edge/_request_stages.py
@@ -171,7 +171,7 @@
                 continue
             run.start(stage, self.context.reactor.seconds())
             group = self._group(run, stage)
-            made = self.context.stages.make(
+            made = self.context.stages.submit(
                 self.route.stages[stage].service, group
             )
             self.pending[stage] = made
--- a/libs/ragwort_edge/ragwort_edge/_stage_service.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_service.py
@@ -26,9 +26,9 @@
 # Time after which an owner that brought nothing is asked for a sign.
 OWNER_CHECK_S = 0.4
 # Groups whose handles a host remembers, to know an answer that came twice.
-MAX_RECEIVED = 256
+MAX_DELIVERED = 256
 # Results of which a host remembers who made them.
-MAX_MAKERS = 8192
+MAX_HANDLE_OWNERS = 8192
 # Hosts that take over a stage service in turn when its owner is silent.
 OWNER_CANDIDATES = 3
 
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Wanted:
+class _PendingGroup:
     """A group that a request here waits for."""
 
     group: relay.PieceGroup
@@ -62,18 +62,18 @@
         logger: Any,
         name: str,
         send_peer: Callable[[model.SendPeerMessage], None],
-        owners_of: Callable[[str], Sequence[str | None]],
+        owner_candidates: Callable[[str], Sequence[str | None]],
     ) -> None:
         """Bind to what calls runners and peers.
 
-        owners_of returns the peer addresses of the hosts that may own a
+        owner_candidates returns the peer addresses of the hosts that may own a
         service, best first, None for this host.
         """
         self.reactor = reactor
         self.logger = logger
         self.name = name
         self.send_peer = send_peer
-        self.owners_of = owners_of
+        self.owner_candidates = owner_candidates
         self.catalog = catalog
         self.waits = relay.QueueWaits()
         self.owner = _stage_owner.StageOwner(
@@ -91,19 +91,19 @@
         self.ids = itertools.count(1)
         # Unlike the steady clock's, no start has the same twice.
         self.prefix = f'{name}/{time.time_ns()}'
-        self.wanted: dict[str, _Wanted] = {}
-        self.received: collections.OrderedDict[str, frozenset[str]] = (
+        self.pending: dict[str, _PendingGroup] = {}
+        self.delivered: collections.OrderedDict[str, frozenset[str]] = (
             collections.OrderedDict()
         )
-        self.avoided: dict[str, float] = {}
-        self.makers: collections.OrderedDict[str, str | None] = (
+        self.avoided_owners: dict[str, float] = {}
+        self.handle_owners: collections.OrderedDict[str, str | None] = (
             collections.OrderedDict()
         )
 
     @property
     def is_idle(self) -> bool:
         """Tell whether nothing is gathered or asked for."""
-        return not self.owner.owned and not self.wanted
+        return not self.owner.owned and not self.pending
 
     def refresh_waits(self, services: Iterable[str]) -> None:
         """Bring up to date what is known of queues at this host."""
@@ -113,15 +113,17 @@
 
     def _owner(self, service: str) -> str | None:
         """Return the first owner that is not silent, None for this host."""
-        for owner in self.owners_of(service):
+        for owner in self.owner_candidates(service):
             if owner is None or not self._is_avoided(owner):
                 return owner
         return None
 
     def _is_avoided(self, owner: str) -> bool:
-        return bool(self.avoided.get(owner, 0.0) > self.reactor.seconds())
+        return bool(
+            self.avoided_owners.get(owner, 0.0) > self.reactor.seconds()
+        )
 
-    def make(
+    def submit(
         self, service: str, group: relay.PieceGroup
     ) -> 'defer.Deferred[Outcomes]':
         """Return the outcome of each piece; cancelling drops the group."""
@@ -129,29 +131,29 @@
         done: defer.Deferred[Outcomes] = defer.Deferred(
             lambda _: self._abandon(group.group_id)
         )
-        wanted = _Wanted(group, service, done, self.reactor.seconds())
-        self.wanted[group.group_id] = wanted
+        pending = _PendingGroup(group, service, done, self.reactor.seconds())
+        self.pending[group.group_id] = pending
         owner = self._owner(service)
         if owner is None:
-            self._make_here(wanted)
+            self._make_here(pending)
         else:
-            self._ask(wanted, owner)
+            self._ask(pending, owner)
         return done
 
-    def _ask(self, wanted: _Wanted, owner: str) -> None:
+    def _ask(self, pending: _PendingGroup, owner: str) -> None:
         """Send a group to its owner; once more is a check for a sign."""
-        group = wanted.group
+        group = pending.group
         now = self.reactor.seconds()
-        wanted.owner = owner
+        pending.owner = owner
         message = model.StageAsk(
             group.group_id,
-            wanted.service,
+            pending.service,
             [
                 model.StageWork(
                     w.request_id, w.stage, w.piece, w.key, list(w.inputs)
                 )
                 for w in group.work
-                if w.piece not in wanted.outcomes
+                if w.piece not in pending.outcomes
             ],
             group.target_at - now,
             group.deadline_at - now,
@@ -160,15 +162,15 @@
             group.failure_domain,
         )
         self.send_peer(model.SendPeerMessage(owner, message))
-        self._set_timer(wanted, ACKNOWLEDGE_S, self._on_silent_owner)
+        self._set_timer(pending, ACKNOWLEDGE_S, self._on_silent_owner)
 
     def on_taken(self, message: model.StageTaken) -> None:
         """Take an owner's word that it has a group."""
-        wanted = self.wanted.get(message.group)
-        if wanted is None or wanted.owner is None:
+        pending = self.pending.get(message.group)
+        if pending is None or pending.owner is None:
             return
         self._hear_waits(message.waits)
-        self._set_timer(wanted, OWNER_CHECK_S, self._check_owner)
+        self._set_timer(pending, OWNER_CHECK_S, self._check_owner)
 
     def _hear_waits(self, waits: Iterable[model.ServiceWait]) -> None:
         now = self.reactor.seconds()
@@ -181,47 +183,47 @@
             self.waits.update(wait.service_name, word)
 
     def _check_owner(self, group_id: str) -> None:
-        wanted = self.wanted.get(group_id)
-        if wanted is not None and wanted.owner is not None:
-            self._ask(wanted, wanted.owner)
+        pending = self.pending.get(group_id)
+        if pending is not None and pending.owner is not None:
+            self._ask(pending, pending.owner)
 
     def _set_timer(
         self,
-        wanted: _Wanted,
+        pending: _PendingGroup,
         delay_s: float,
         on_time: Callable[[str], None],
     ) -> None:
-        self._stop_timer(wanted)
-        wanted.timer = self.reactor.callLater(
-            delay_s, on_time, wanted.group.group_id
+        self._stop_timer(pending)
+        pending.timer = self.reactor.callLater(
+            delay_s, on_time, pending.group.group_id
         )
 
     def _on_silent_owner(self, group_id: str) -> None:
-        wanted = self.wanted.get(group_id)
-        if wanted is None or wanted.owner is None:
+        pending = self.pending.get(group_id)
+        if pending is None or pending.owner is None:
             return
-        owner = wanted.owner
-        wanted.timer = None
-        self.avoided[owner] = self.reactor.seconds() + AVOID_OWNER_S
+        owner = pending.owner
+        pending.timer = None
+        self.avoided_owners[owner] = self.reactor.seconds() + AVOID_OWNER_S
         self.logger.warning(
             'stage-owner-silent',
-            service=wanted.service,
+            service=pending.service,
             owner=owner,
-            request=wanted.group.work[0].request_id,
+            request=pending.group.work[0].request_id,
         )
-        drop = model.StageDrop(group_id, wanted.service)
+        drop = model.StageDrop(group_id, pending.service)
         self.send_peer(model.SendPeerMessage(owner, drop, True))
-        another = self._owner(wanted.service)
+        another = self._owner(pending.service)
         if another is None:
-            self._make_here(wanted)
+            self._make_here(pending)
         else:
-            self._ask(wanted, another)
+            self._ask(pending, another)
 
-    def _make_here(self, wanted: _Wanted) -> None:
-        wanted.owner = None
-        group = wanted.group
-        group.work = [w for w in group.work if w.piece not in wanted.outcomes]
-        self.owner.gather(wanted.service, group, None)
+    def _make_here(self, pending: _PendingGroup) -> None:
+        pending.owner = None
+        group = pending.group
+        group.work = [w for w in group.work if w.piece not in pending.outcomes]
+        self.owner.gather(pending.service, group, None)
 
     def on_peer(self, sender: str, message: model.PeerMessage) -> None:
         """Take a peer's message if it is about stages."""
@@ -245,45 +247,45 @@
     def _on_outcomes(
         self, group_id: str, outcomes: list[model.PieceOutcome]
     ) -> None:
-        wanted = self.wanted.get(group_id)
-        if wanted is None:
+        pending = self.pending.get(group_id)
+        if pending is None:
             # An answer that came twice names results that are in use.
-            used = self.received.get(group_id, frozenset())
+            used = self.delivered.get(group_id, frozenset())
             self._release_unwanted(
                 [o for o in outcomes if o.handle not in used]
             )
             return
         for outcome in outcomes:
-            wanted.outcomes.setdefault(outcome.piece, outcome)
+            pending.outcomes.setdefault(outcome.piece, outcome)
             if outcome.handle:
-                self.makers[outcome.handle] = wanted.owner
-        while len(self.makers) > MAX_MAKERS:
-            self.makers.popitem(last=False)
-        pieces = {work.piece for work in wanted.group.work}
-        if pieces <= wanted.outcomes.keys():
-            self._stop_timer(wanted)
-            self._log_made(wanted)
-            del self.wanted[group_id]
-            self.received[group_id] = frozenset(
-                o.handle for o in wanted.outcomes.values() if o.handle
+                self.handle_owners[outcome.handle] = pending.owner
+        while len(self.handle_owners) > MAX_HANDLE_OWNERS:
+            self.handle_owners.popitem(last=False)
+        pieces = {work.piece for work in pending.group.work}
+        if pieces <= pending.outcomes.keys():
+            self._stop_timer(pending)
+            self._log_made(pending)
+            del self.pending[group_id]
+            self.delivered[group_id] = frozenset(
+                o.handle for o in pending.outcomes.values() if o.handle
             )
-            while len(self.received) > MAX_RECEIVED:
-                self.received.popitem(last=False)
-            wanted.done.callback(wanted.outcomes)
+            while len(self.delivered) > MAX_DELIVERED:
+                self.delivered.popitem(last=False)
+            pending.done.callback(pending.outcomes)
 
-    def _log_made(self, wanted: _Wanted) -> None:
-        group = wanted.group
+    def _log_made(self, pending: _PendingGroup) -> None:
+        group = pending.group
         now = self.reactor.seconds()
-        word = self.waits.by_service.get(wanted.service)
+        word = self.waits.by_service.get(pending.service)
         self.logger.info(
             'stage-done',
             request=group.work[0].request_id,
             stage=group.work[0].stage,
-            service=wanted.service,
-            pieces=len(wanted.outcomes),
-            made=sum(o.handle is not None for o in wanted.outcomes.values()),
-            owner=wanted.owner or self.name,
-            took_s=round(now - wanted.asked_at, 3),
+            service=pending.service,
+            pieces=len(pending.outcomes),
+            made=sum(o.handle is not None for o in pending.outcomes.values()),
+            owner=pending.owner or self.name,
+            took_s=round(now - pending.asked_at, 3),
             slack_s=round(group.target_at - now, 3),
             queue_s=[round(s, 3) for s in word.waits_s] if word else None,
             queue_late_s=round(word.late_wait_s, 3) if word else None,
@@ -296,21 +298,21 @@
             self.owner.queue_release(handles)
 
     def _abandon(self, group_id: str) -> None:
-        wanted = self.wanted.pop(group_id, None)
-        if wanted is None:
+        pending = self.pending.pop(group_id, None)
+        if pending is None:
             return
-        self._stop_timer(wanted)
-        self._release_unwanted(list(wanted.outcomes.values()))
-        if wanted.owner is None:
-            self.owner.on_drop(model.StageDrop(group_id, wanted.service))
+        self._stop_timer(pending)
+        self._release_unwanted(list(pending.outcomes.values()))
+        if pending.owner is None:
+            self.owner.on_drop(model.StageDrop(group_id, pending.service))
         else:
-            drop = model.StageDrop(group_id, wanted.service)
-            self.send_peer(model.SendPeerMessage(wanted.owner, drop))
+            drop = model.StageDrop(group_id, pending.service)
+            self.send_peer(model.SendPeerMessage(pending.owner, drop))
 
-    def _stop_timer(self, wanted: _Wanted) -> None:
-        if wanted.timer is not None and wanted.timer.active():
-            wanted.timer.cancel()
-        wanted.timer = None
+    def _stop_timer(self, pending: _PendingGroup) -> None:
+        if pending.timer is not None and pending.timer.active():
+            pending.timer.cancel()
+        pending.timer = None
 
     def release(self, service: str, handles: list[str]) -> None:
         """Give results up, through the host that counts their room.
@@ -319,7 +321,7 @@
         """
         by_maker: dict[str | None, list[str]] = {}
         for handle in handles:
-            maker = self.makers.pop(handle, None)
+            maker = self.handle_owners.pop(handle, None)
             if maker is not None and self._is_avoided(maker):
                 maker = None
             by_maker.setdefault(maker, []).append(handle)
--- a/libs/ragwort_lab/ragwort_lab/_stage_bench.py
+++ b/libs/ragwort_lab/ragwort_lab/_stage_bench.py
@@ -224,7 +224,7 @@
             pattern.hold_s, host.stages.release, SERVICE, handles
         )
 
-    host.stages.make(SERVICE, group).addCallback(on_made)
+    host.stages.submit(SERVICE, group).addCallback(on_made)
 
 
 def stage_report() -> None:
