--- a/libs/ragwort_edge/ragwort_edge/__init__.py
+++ b/libs/ragwort_edge/ragwort_edge/__init__.py
@@ -1,4 +1,4 @@
-"""Twisted rim of an entry host that relays requests to runners."""
+"""Network layer of an entry host that relays requests to runners."""
 
 from ragwort_edge._client import CallError
 from ragwort_edge._client import CallErrorKind
--- a/libs/ragwort_edge/ragwort_edge/_client.py
+++ b/libs/ragwort_edge/ragwort_edge/_client.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 calls, each on a connection of its own.
+"""HTTP/1.1 client that opens a new connection for each call.
 
-A connection that serves one call can bring no answer that belongs to
-another, is never stale, and closing it cancels the call.
+A response can't belong to another call, the connection is never stale, and
+closing it cancels the call.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class CallErrorKind(enum.StrEnum):
-    """Why a call brought no whole response."""
+    """Why a call ended without a complete response."""
 
     NOT_CONNECTED = 'not_connected'
     CLOSED = 'closed'
@@ -32,28 +32,28 @@
 
 
 class CallError(model.RagwortError):
-    """Raise when a call brought no whole response."""
+    """Raise when a call ends without a complete response."""
 
     def __init__(self, kind: CallErrorKind, detail: str) -> None:
-        """Keep the problem beside its text."""
+        """Build the message from kind and detail."""
         super().__init__(f'{kind}: {detail}')
         self.kind = kind
 
 
 class ResponseReader:
-    """What a caller of the client gets to hear of a response."""
+    """Callbacks for the parts of a response."""
 
     def on_head(self, response: _messages.HttpResponse) -> None:
-        """Take the status and headers."""
+        """Handle the status and headers."""
 
     def on_data(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Handle a part of the body."""
 
     def on_end(self) -> None:
-        """Take note that the body is whole."""
+        """Handle the end of a complete response."""
 
     def on_error(self, call_error: CallError) -> None:
-        """Take note that no more will come; nothing follows."""
+        """Handle a failed call; no callback follows."""
 
 
 class _CallProtocol(protocol.Protocol):
@@ -88,14 +88,14 @@
         self.transport.write(data)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes of the response."""
+        """Feed received bytes to the parser."""
         if not self.is_over:
             self._feed(data)
 
     def connectionLost(  # noqa: N802
         self, reason: failure.Failure = protocol.connectionDone
     ) -> None:
-        """End the response if its end is the connection's."""
+        """End a response that the close delimits, or fail the call."""
         if self.is_over:
             return
         if reason.check(error.ConnectionDone):
@@ -151,12 +151,12 @@
     ) -> None:
         self.request = request
         self.reader = reader
-        self.opened: _CallProtocol | None = None
+        self.call_protocol: _CallProtocol | None = None
         self.is_cancelled = False
 
     def buildProtocol(self, addr: Any) -> _CallProtocol:  # noqa: N802
-        self.opened = _CallProtocol(self.request, self.reader)
-        return self.opened
+        self.call_protocol = _CallProtocol(self.request, self.reader)
+        return self.call_protocol
 
     def clientConnectionFailed(  # noqa: N802
         self, connector: Any, reason: failure.Failure
@@ -171,35 +171,35 @@
 
 
 class OpenCall:
-    """A call under way."""
+    """A call in progress."""
 
     def __init__(self, factory: _CallFactory, connector: Any) -> None:
-        """Keep what is needed to cancel the call."""
+        """Keep the factory and connector to cancel the call with."""
         self.factory = factory
         self.connector = connector
 
     @property
     def was_sent(self) -> bool:
-        """Tell whether bytes of the request may have gone out."""
-        return self.factory.opened is not None
+        """Tell whether any bytes of the request may have been sent."""
+        return self.factory.call_protocol is not None
 
     def cancel(self) -> None:
-        """Close the connection; the reader hears nothing more."""
+        """Close the connection; the reader gets no more callbacks."""
         self.factory.is_cancelled = True
-        opened = self.factory.opened
-        if opened is None:
+        call_protocol = self.factory.call_protocol
+        if call_protocol is None:
             self.connector.disconnect()
-        elif not opened.is_over:
-            opened.is_over = True
-            if opened.transport is not None:
-                opened.transport.abortConnection()
+        elif not call_protocol.is_over:
+            call_protocol.is_over = True
+            if call_protocol.transport is not None:
+                call_protocol.transport.abortConnection()
 
 
 class HttpClient:
-    """Opens calls."""
+    """Opens one connection per call."""
 
     def __init__(self, reactor: Any) -> None:
-        """Bind to a reactor."""
+        """Connect through a reactor."""
         self.reactor = reactor
 
     def open(
@@ -218,8 +218,8 @@
         return OpenCall(factory, connector)
 
 
-class _WholeReader(ResponseReader):
-    """Collect a whole response."""
+class _ResponseCollector(ResponseReader):
+    """Collect a complete response."""
 
     def __init__(self, done: 'defer.Deferred[_messages.HttpResponse]') -> None:
         self.done = done
@@ -251,9 +251,9 @@
     timeout_s: float,
     on_open: Callable[[OpenCall], None] | None = None,
 ) -> 'defer.Deferred[_messages.HttpResponse]':
-    """Return the whole response; fail with CallError.
+    """Return the complete response; fail with CallError.
 
-    Cancelling the result, or its time running out, closes the connection.
+    Cancelling the Deferred or reaching timeout_s closes the connection.
     """
 
     def cancel(_: 'defer.Deferred[_messages.HttpResponse]') -> None:
@@ -264,7 +264,7 @@
         done.errback(CallError(kind, f'no response in {timeout_s:.3f} s'))
 
     done: defer.Deferred[_messages.HttpResponse] = defer.Deferred(cancel)
-    call = client.open(address, request, _WholeReader(done))
+    call = client.open(address, request, _ResponseCollector(done))
     if on_open is not None:
         on_open(call)
     timer = client.reactor.callLater(max(timeout_s, 0.0), done.cancel)
--- a/libs/ragwort_edge/ragwort_edge/_context.py
+++ b/libs/ragwort_edge/ragwort_edge/_context.py
@@ -1,4 +1,4 @@
-"""What the calls of one host share."""
+"""Objects shared by the request handlers of one host."""
 
 import dataclasses
 from typing import Any
@@ -10,22 +10,22 @@
 import ragwort_model as model
 import ragwort_relay as relay
 
-# When to come back if nothing is known of a queue, in the mean.
-RETRY_AFTER_S = 0.5
+# Mean Retry-After delay of a refusal that is not due to a known queue.
+DEFAULT_RETRY_AFTER_S = 0.5
 
 
-class Refusal(model.RagwortError):
-    """Raise to end a request that has not run."""
+class RefusedError(model.RagwortError):
+    """Raise to refuse a request that no runner has run."""
 
     def __init__(self, reason: str, retry_after_s: float) -> None:
-        """Keep when the caller should come back."""
+        """Add the delay after which the caller may retry."""
         super().__init__(reason)
         self.retry_after_s = retry_after_s
 
 
 @dataclasses.dataclass(slots=True)
 class RelayContext:
-    """The parts of a host that its calls work with."""
+    """The parts of a host that its request handlers use."""
 
     reactor: Any
     rng: Any
@@ -38,12 +38,14 @@
     logger: Any
     failure_domain: str
 
-    def refusal(self, reason: str) -> Refusal:
-        """Return a refusal; callers are told different times."""
-        return Refusal(reason, relay.retry_after_s(RETRY_AFTER_S, self.rng))
+    def refusal(self, reason: str) -> RefusedError:
+        """Return an error with a randomised retry delay."""
+        return RefusedError(
+            reason, relay.retry_after_s(DEFAULT_RETRY_AFTER_S, self.rng)
+        )
 
-    def domain_of(self, handle: str) -> str:
-        """Return the failure domain where a stage's result lies."""
+    def failure_domain_of(self, handle: str) -> str:
+        """Return the failure domain that stores a result, '' if unknown."""
         address = self.dialect.handle_address(handle)
         for runner in self.catalog.fleet.runners.values():
             if runner.address == address:
--- a/libs/ragwort_edge/ragwort_edge/_dialect.py
+++ b/libs/ragwort_edge/ragwort_edge/_dialect.py
@@ -1,7 +1,7 @@
-"""What the relay needs to know of the messages of a platform.
+"""Interface between the relay and the HTTP messages of a platform.
 
-An adapter implements Dialect; the relay itself reads and writes no header
-and no body.
+An adapter implements Dialect; the relay itself interprets no header or body
+of the platform.
 """
 
 from collections.abc import Sequence
@@ -16,11 +16,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """What a caller says of its request.
+    """Parameters that a caller sends with its request.
 
-    deadline_s counts from the arrival; last_event is the number of the
-    last event that the caller has of a stream; pieces and piece_key
-    describe the work of the stages.
+    deadline_s counts from the arrival; last_event is the number of the last
+    event of a stream that the caller received; pieces holds the number of
+    pieces of each stage, piece_key the key of those without inputs.
     """
 
     request_id: str
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MainCall:
-    """A call as it is sent to one runner."""
+    """The main call of a request, as sent to one runner."""
 
     request: _messages.HttpRequest
     metadata: RequestMetadata
@@ -48,10 +48,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunnerReply:
-    """What the head of a runner's response says.
+    """What the status and headers of a runner's response say.
 
-    is_authentic tells whether it answers the call it is read for and is sealed
-    by a runner; an encoded body is not the runner's own.
+    is_authentic tells whether the response answers this call and carries a
+    runner's seal; an encoded body does not come from the runner.
     """
 
     is_authentic: bool
@@ -62,7 +62,7 @@
 
 
 class PieceResult(enum.StrEnum):
-    """How making a piece ended."""
+    """Result of one piece of stage work."""
 
     MADE = 'made'
     LATE = 'late'
@@ -73,51 +73,51 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PieceReply:
-    """A runner's answer for one piece."""
+    """A runner's reply for one piece."""
 
     result: PieceResult
     handle: str | None = None
 
 
 class Dialect(relay.ObjectDecoder, Protocol):
-    """Reads and writes a platform's messages."""
+    """Converts between a platform's messages and the relay's types."""
 
     def read_request(self, request: _messages.HttpRequest) -> RequestMetadata:
-        """Return what a request says; raise InvalidInputError."""
+        """Return a request's metadata; raise InvalidInputError."""
 
     def main_request(self, call: MainCall) -> _messages.HttpRequest:
-        """Return the request for a runner."""
+        """Return the request to a runner for the main call."""
 
     def read_reply(
         self, response: _messages.HttpResponse, request_id: str
     ) -> RunnerReply:
-        """Return what a runner's response says."""
+        """Return what the status and headers of a response say."""
 
     def stage_request(
         self, batch: relay.BatchCall, now: float
     ) -> _messages.HttpRequest:
-        """Return the call that makes pieces."""
+        """Return the request that runs a batch of pieces."""
 
     def read_stage_reply(
         self, response: _messages.HttpResponse, count: int
     ) -> Sequence[PieceReply]:
-        """Return the results in order; raise WireError."""
+        """Return the pieces' results in order; raise WireError."""
 
     def release_request(
         self, address: str, handles: Sequence[str]
     ) -> _messages.HttpRequest:
-        """Return the call that frees results."""
+        """Return the request that frees results."""
 
     def room_request(self, address: str) -> _messages.HttpRequest:
-        """Return the question for a runner's room for results."""
+        """Return the request for a runner's free result space."""
 
     def read_room(self, response: _messages.HttpResponse) -> float:
-        """Return the free bytes for results; raise WireError."""
+        """Return the free result space in bytes; raise WireError."""
 
     def handle_address(self, handle: str) -> str:
-        """Return the address of the runner that keeps a result."""
+        """Return the address of the runner that stores a result."""
 
     def error_response(
         self, status: int, retry_after_s: float | None, reason: str
     ) -> _messages.HttpResponse:
-        """Return an answer of our own."""
+        """Return a response that the relay itself creates."""
--- a/libs/ragwort_edge/ragwort_edge/_logs.py
+++ b/libs/ragwort_edge/ragwort_edge/_logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard output that never block and stay bounded."""
+"""Non-blocking, rate-limited structured logs on standard output."""
 
 import os
 import sys
@@ -7,30 +7,30 @@
 
 import structlog
 
-# Lines a second that are written on average and at once; what is over is
-# counted and the count written with the next line.
+# Refill rate and size of the token bucket that limits log lines; dropped
+# lines are counted and the count is written before the next line.
 LINES_PER_S = 150.0
-LINE_BURST = 400.0
+MAX_BURST_LINES = 400.0
 MAX_LINE_BYTES = 2048
 
 
-class BoundedOutput:
-    """Write lines to a descriptor within a rate, or drop and count them."""
+class RateLimitedOutput:
+    """Write lines to a descriptor at a limited rate; drop the rest."""
 
     def __init__(self, descriptor: int) -> None:
-        """Make writes to the descriptor return at once."""
+        """Make the descriptor non-blocking."""
         self.descriptor = descriptor
-        self.tokens = LINE_BURST
-        self.filled_at = time.monotonic()
+        self.tokens = MAX_BURST_LINES
+        self.refilled_at = time.monotonic()
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def msg(self, message: str) -> None:
         """Write one line."""
         now = time.monotonic()
-        grown = (now - self.filled_at) * LINES_PER_S
-        self.tokens = min(self.tokens + grown, LINE_BURST)
-        self.filled_at = now
+        refill = (now - self.refilled_at) * LINES_PER_S
+        self.tokens = min(self.tokens + refill, MAX_BURST_LINES)
+        self.refilled_at = now
         if self.tokens < 1.0:
             self.dropped += 1
             return
@@ -50,8 +50,8 @@
 
 
 def configure_logs(node: str) -> Any:
-    """Return a logger of JSON lines that bear the node's name."""
-    output = BoundedOutput(sys.stdout.fileno())
+    """Return a logger of JSON lines with the node's name."""
+    output = RateLimitedOutput(sys.stdout.fileno())
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/libs/ragwort_edge/ragwort_edge/_messages.py
+++ b/libs/ragwort_edge/ragwort_edge/_messages.py
@@ -1,10 +1,10 @@
-"""HTTP messages as the relay's rim hands them on."""
+"""HTTP requests and responses, and the headers to forward."""
 
 import dataclasses
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-# Headers that concern one connection only.
+# Headers that apply to a single connection and are not forwarded.
 HOP_BY_HOP = frozenset(
     {
         b'connection',
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A whole request; header names are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole response."""
+    """A complete response."""
 
     status: int
     headers: Headers = ()
@@ -55,16 +55,16 @@
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a header given in lower case."""
-    for known, value in headers:
-        if known == name:
+    """Return the first value of a header; name is in lower case."""
+    for header_name, value in headers:
+        if header_name == name:
             return value
     return None
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the headers without those for one connection only."""
-    named = {
+    """Return the headers without the hop-by-hop ones."""
+    connection_options = {
         token.strip().lower()
         for name, value in headers
         if name == b'connection'
@@ -73,5 +73,5 @@
     return tuple(
         (name, value)
         for name, value in headers
-        if name not in HOP_BY_HOP and name not in named
+        if name not in HOP_BY_HOP and name not in connection_options
     )
--- a/libs/ragwort_edge/ragwort_edge/_metrics.py
+++ b/libs/ragwort_edge/ragwort_edge/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, served as text."""
+"""Prometheus counters and latency histograms."""
 
 import prometheus_client as prometheus
 
@@ -8,7 +8,7 @@
 
 
 class Metrics:
-    """The relay's own registry."""
+    """Metrics of one host, in a registry of its own."""
 
     def __init__(self) -> None:
         """Create all counters and histograms."""
@@ -46,5 +46,5 @@
         )
 
     def text(self) -> bytes:
-        """Return all values in the exposition format."""
+        """Return all metrics in the Prometheus text format."""
         return prometheus.generate_latest(self.registry)
--- a/libs/ragwort_edge/ragwort_edge/_request_handler.py
+++ b/libs/ragwort_edge/ragwort_edge/_request_handler.py
@@ -120,7 +120,7 @@
         self.on_end(self)
 
     def _on_failure(self, failure: Any) -> None:
-        if failure.check(_context.Refusal):
+        if failure.check(_context.RefusedError):
             self._refuse(str(failure.value), failure.value.retry_after_s)
         elif failure.check(defer.CancelledError, _client.CallError):
             self._on_stopped()
@@ -198,7 +198,7 @@
         self.notes['queue_s'] = round(admission.forecast.queue_s, 3)
         self.notes['admission'] = str(admission.verdict)
         if admission.verdict == relay.Verdict.TOO_LATE:
-            raise _context.Refusal(
+            raise _context.RefusedError(
                 'queues are too long', admission.retry_after_s
             )
         await self.stages.make()
@@ -246,7 +246,7 @@
         return runner
 
     def _take_runner(self, service: str, tried: set[str]) -> relay.FleetRunner:
-        """Return a runner and mark it tried; raise Refusal without one."""
+        """Return a runner and mark it tried; raise RefusedError if none."""
         runner = self._choose(service, tried)
         if runner is None:
             raise self.context.refusal('no runner')
@@ -352,9 +352,9 @@
                 raise
             return _Send(relay.SendResult.LOST, detail=str(error))
         took_s = context.reactor.seconds() - sent_at
-        return self.judge(runner, response, took_s)
+        return self.classify_response(runner, response, took_s)
 
-    def judge(
+    def classify_response(
         self,
         runner: relay.FleetRunner,
         response: _messages.HttpResponse,
@@ -406,7 +406,7 @@
         self._observe_latency()
         self.stages.release_all()
 
-    def send_ended(self, result: relay.SendResult, detail: str) -> '_Send':
+    def send_outcome(self, result: relay.SendResult, detail: str) -> '_Send':
         """Return the end of a send that brought no whole response."""
         return _Send(result, detail=detail)
 
--- a/libs/ragwort_edge/ragwort_edge/_request_stages.py
+++ b/libs/ragwort_edge/ragwort_edge/_request_stages.py
@@ -139,7 +139,7 @@
         ]
 
     async def make(self) -> None:
-        """Make all stages; raise Refusal if that can't be done."""
+        """Make all stages; raise RefusedError if that fails."""
         for _ in range(MAX_ROUNDS):
             self.release_all()
             try:
@@ -228,7 +228,7 @@
         for needed in spec.after:
             size = self.route.stages[needed].result_bytes
             for handle in run.results(needed):
-                domain = self.context.domain_of(handle)
+                domain = self.context.failure_domain_of(handle)
                 read[domain] += int(size * run.pieces[stage])
         if stage not in run.stages_with_dependents:
             amount = int(spec.result_bytes * run.pieces[stage])
@@ -281,7 +281,7 @@
                 continue
             size = self.route.stages[stage].result_bytes
             for handle in run.results(stage):
-                domain = self.context.domain_of(handle)
+                domain = self.context.failure_domain_of(handle)
                 amounts[domain] = amounts.get(domain, 0.0) + size
         return amounts
 
--- a/libs/ragwort_edge/ragwort_edge/_sockets.py
+++ b/libs/ragwort_edge/ragwort_edge/_sockets.py
@@ -3,15 +3,15 @@
 import socket
 from typing import Any
 
-# A peer that is gone or a path that went silent shows after about 3 s.
+# A dead peer or network path is detected after about 3 s.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
-UNACKNOWLEDGED_MS = 3000
+USER_TIMEOUT_MS = 3000
 
 
 def set_options(transport: Any) -> None:
-    """Send at once, and notice a silent path within seconds."""
+    """Disable Nagle's algorithm and detect dead peers in seconds."""
     transport.setTcpNoDelay(True)
     transport.setTcpKeepAlive(True)
     handle = transport.getHandle()
@@ -19,7 +19,7 @@
         (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
         (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
         (socket.TCP_KEEPCNT, KEEPALIVE_COUNT),
-        (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+        (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     )
     for option, value in options:
         handle.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/libs/ragwort_edge/ragwort_edge/_stream.py
+++ b/libs/ragwort_edge/ragwort_edge/_stream.py
@@ -1,4 +1,4 @@
-"""Reading a runner's event stream and handing on its whole events."""
+"""Forwarding the complete events of a runner's event stream."""
 
 from typing import Any
 from typing import TYPE_CHECKING
@@ -12,18 +12,19 @@
 if TYPE_CHECKING:
     from ragwort_edge import _request_handler
 
-# Silence within a stream after which a resumable one goes on elsewhere,
-# as a multiple of the longest pause that counts as in time.
-GAP_FACTOR = 4.0
-MIN_GAP_S = 0.8
-# Patience for the first event where the stream may be sent again.
-FIRST_FACTOR = 2.0
-MIN_FIRST_S = 1.5
+# Time without data after which a stream that may be resumed is sent to
+# another runner, as a multiple of the longest gap that meets the target.
+GAP_TIMEOUT_FACTOR = 4.0
+MIN_GAP_TIMEOUT_S = 0.8
+# Timeout for the first event if the request may be sent again, as a multiple
+# of the target latency.
+FIRST_EVENT_TIMEOUT_FACTOR = 2.0
+MIN_FIRST_EVENT_TIMEOUT_S = 1.5
 EVENT_STREAM = b'text/event-stream'
 
 
 class StreamReader(_client.ResponseReader):
-    """One send of a streaming call."""
+    """Reads the response to one send of a streaming request."""
 
     def __init__(
         self,
@@ -31,23 +32,23 @@
         runner: relay.FleetRunner,
         progress: relay.StreamProgress,
     ) -> None:
-        """Read for handler from runner, behind what progress has."""
+        """Read runner's response; skip events that progress has seen."""
         self.handler = handler
         self.context = handler.context
         self.runner = runner
         self.progress = progress
-        self.splitter = relay.EventSplitter()
+        self.event_parser = relay.EventSplitter()
         self.done: defer.Deferred[Any] = defer.Deferred()
         self.head: _messages.HttpResponse | None = None
         self.body: list[bytes] = []
-        self.is_events = False
+        self.is_event_stream = False
         self.open_call: _client.OpenCall | None = None
         self.timer: Any = None
         self.opened_at = self.context.reactor.seconds()
 
     @property
     def was_sent(self) -> bool:
-        """Tell whether bytes of the request may have gone out."""
+        """Tell whether any bytes of the request may have been sent."""
         return self.open_call is not None and self.open_call.was_sent
 
     def open(self, request: _messages.HttpRequest) -> None:
@@ -57,7 +58,12 @@
         )
         route = self.handler.route
         if route.may_repeat and self.handler.attempts.ran + 1 < route.attempts:
-            self._set_timer(max(FIRST_FACTOR * route.target_s, MIN_FIRST_S))
+            self._set_timer(
+                max(
+                    FIRST_EVENT_TIMEOUT_FACTOR * route.target_s,
+                    MIN_FIRST_EVENT_TIMEOUT_S,
+                )
+            )
 
     def _set_timer(self, delay_s: float | None) -> None:
         if self.timer is not None and self.timer.active():
@@ -65,24 +71,24 @@
         self.timer = None
         if delay_s is not None:
             self.timer = self.context.reactor.callLater(
-                delay_s, self._on_silence
+                delay_s, self._on_timeout
             )
 
-    def _on_silence(self) -> None:
+    def _on_timeout(self) -> None:
         self.timer = None
         self.stop()
         self._finish(relay.SendResult.BROKEN, 'runner is silent')
 
     def stop(self) -> None:
-        """Close the connection; nothing more is read."""
+        """Close the connection and read no more."""
         self._set_timer(None)
         if self.open_call is not None:
             self.open_call.cancel()
 
     def on_head(self, response: _messages.HttpResponse) -> None:
-        """Take the status; a stream starts the caller's answer."""
+        """Read the headers; only an event stream is forwarded as it comes."""
         self.head = response
-        kind = response.header(b'content-type') or b''
+        content_type = response.header(b'content-type') or b''
         reply = self.context.dialect.read_reply(
             response, self.handler.metadata.request_id
         )
@@ -90,21 +96,21 @@
             self.runner.state.on_report(
                 reply.load, self.context.reactor.seconds()
             )
-        self.is_events = (
+        self.is_event_stream = (
             response.status == 200
             and reply.is_authentic
-            and kind.startswith(EVENT_STREAM)
+            and content_type.startswith(EVENT_STREAM)
         )
 
     def on_data(self, data: bytes) -> None:
-        """Hand on the events that are whole now."""
-        if not self.is_events:
+        """Forward the events that are complete."""
+        if not self.is_event_stream:
             self.body.append(data)
             return
         try:
             events = [
                 event
-                for event in self.splitter.feed(data)
+                for event in self.event_parser.feed(data)
                 if self.progress.accept(event)
             ]
         except ValueError as error:
@@ -125,23 +131,27 @@
         exchange.write(data)
         route = self.handler.route
         if route.may_repeat:
-            self._set_timer(max(GAP_FACTOR * route.max_gap_s, MIN_GAP_S))
+            self._set_timer(
+                max(GAP_TIMEOUT_FACTOR * route.max_gap_s, MIN_GAP_TIMEOUT_S)
+            )
 
     def on_end(self) -> None:
-        """Take the end of the response."""
+        """Finish the send at the end of the response."""
         self._set_timer(None)
         assert self.head is not None
         took_s = self.context.reactor.seconds() - self.opened_at
-        if not self.is_events:
-            whole = _messages.HttpResponse(
+        if not self.is_event_stream:
+            response = _messages.HttpResponse(
                 self.head.status, self.head.headers, b''.join(self.body)
             )
             if not self.done.called:
                 self.done.callback(
-                    self.handler.judge(self.runner, whole, took_s)
+                    self.handler.classify_response(
+                        self.runner, response, took_s
+                    )
                 )
             return
-        if self.splitter.buffer.strip():
+        if self.event_parser.buffer.strip():
             self._finish(relay.SendResult.BROKEN, 'ends within an event')
             return
         if not self.handler.exchange.is_started:
@@ -152,15 +162,15 @@
         self._finish(relay.SendResult.DONE, '')
 
     def on_error(self, call_error: _client.CallError) -> None:
-        """Take the loss of the connection."""
+        """Finish the send after a failed call."""
         self._set_timer(None)
         if call_error.kind == _client.CallErrorKind.NOT_CONNECTED:
             self._finish(relay.SendResult.NOT_SENT, str(call_error))
-        elif self.is_events:
+        elif self.is_event_stream:
             self._finish(relay.SendResult.BROKEN, str(call_error))
         else:
             self._finish(relay.SendResult.LOST, str(call_error))
 
     def _finish(self, result: relay.SendResult, detail: str) -> None:
         if not self.done.called:
-            self.done.callback(self.handler.send_ended(result, detail))
+            self.done.callback(self.handler.send_outcome(result, detail))
