--- a/libs/ragwort_edge/ragwort_edge/_server.py
+++ b/libs/ragwort_edge/ragwort_edge/_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server side: strict reading within limits, one answer each."""
+"""HTTP/1.1 server with strict parsing and size and time limits."""
 
 from collections.abc import Callable
 import enum
@@ -12,9 +12,9 @@
 from ragwort_edge import _sockets
 import ragwort_relay as relay
 
-# Bytes kept of a next request while one is being answered.
-MAX_AHEAD_BYTES = 64 * 1024
-REASONS = {
+# Pipelined bytes that are buffered while a request is being served.
+MAX_PIPELINED_BYTES = 64 * 1024
+REASON_PHRASES = {
     200: b'OK',
     400: b'Bad Request',
     401: b'Unauthorized',
@@ -29,22 +29,22 @@
 }
 
 
-class _Phase(enum.Enum):
-    """What the connection does now."""
+class _State(enum.Enum):
+    """State of a connection."""
 
     IDLE = 'idle'
     READING = 'reading'
-    ANSWERING = 'answering'
+    RESPONDING = 'responding'
     CLOSED = 'closed'
 
 
 class Exchange:
-    """One request and the answer to it."""
+    """One request and the response to it."""
 
     def __init__(
         self, server: 'ServerProtocol', request: _messages.HttpRequest
     ) -> None:
-        """Bind a request to its connection."""
+        """Respond to request on the connection of server."""
         self.server = server
         self.request = request
         self.on_disconnect: Callable[[], None] | None = None
@@ -52,7 +52,7 @@
         self.is_over = False
 
     def respond(self, response: _messages.HttpResponse) -> None:
-        """Send a whole response."""
+        """Send a complete response."""
         if self.is_over:
             return
         length = str(len(response.body)).encode()
@@ -62,7 +62,7 @@
         self.finish()
 
     def start(self, status: int, headers: _messages.Headers) -> None:
-        """Send status and headers; the body follows by write."""
+        """Send status and headers; write sends the body."""
         if not self.is_over:
             self.is_started = True
             self.server.send_head(status, headers)
@@ -73,19 +73,19 @@
             self.server.send_event(h11.Data(data=data))
 
     def finish(self) -> None:
-        """End the answer as whole."""
+        """End a complete response."""
         if not self.is_over:
             self.is_over = True
             self.server.end_response()
 
     def abort(self) -> None:
-        """Close the connection so that the answer can't look whole."""
+        """Reset the connection so that the response can't look complete."""
         if not self.is_over:
             self.is_over = True
             self.server.abort()
 
     def connection_lost(self) -> None:
-        """Note that the caller is gone."""
+        """Handle the loss of the connection to the caller."""
         if not self.is_over:
             self.is_over = True
             if self.on_disconnect is not None:
@@ -93,26 +93,26 @@
 
 
 class ServerProtocol(protocol.Protocol):
-    """A connection of a caller."""
+    """One client connection."""
 
     def __init__(self, site: 'Site') -> None:
-        """Bind to the site whose limits and handler hold."""
+        """Serve under the limits of site and with its handler."""
         self.site = site
-        self.connection = self._parser()
-        self.phase = _Phase.IDLE
+        self.connection = self._new_parser()
+        self.state = _State.IDLE
         self.head: h11.Request | None = None
-        self.parts: list[bytes] = []
-        self.size = 0
+        self.body_parts: list[bytes] = []
+        self.body_size = 0
         self.exchange: Exchange | None = None
         self.timer: Any = None
-        self.ahead = 0
+        self.pipelined_bytes = 0
 
-    def _parser(self) -> h11.Connection:
+    def _new_parser(self) -> h11.Connection:
         limit = self.site.limits().header_bytes
         return h11.Connection(h11.SERVER, max_incomplete_event_size=limit)
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Start to wait for a request."""
+        """Wait for a request."""
         _sockets.set_options(self.transport)
         self.site.connections.add(self)
         self._set_timer(self.site.limits().idle_timeout_s)
@@ -120,8 +120,8 @@
     def connectionLost(  # noqa: N802
         self, reason: failure.Failure = protocol.connectionDone
     ) -> None:
-        """Tell whoever answers that the caller is gone."""
-        self.phase = _Phase.CLOSED
+        """Notify the open exchange, if any."""
+        self.state = _State.CLOSED
         self._set_timer(None)
         self.site.connections.discard(self)
         if self.exchange is not None:
@@ -129,47 +129,47 @@
             self.exchange = None
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes of requests."""
-        if self.phase == _Phase.CLOSED:
+        """Parse received bytes, or buffer them while responding."""
+        if self.state == _State.CLOSED:
             return
-        if self.phase == _Phase.IDLE:
-            self.phase = _Phase.READING
+        if self.state == _State.IDLE:
+            self.state = _State.READING
             self._set_timer(self.site.limits().header_timeout_s)
         self.connection.receive_data(data)
-        if self.phase == _Phase.ANSWERING:
-            self.ahead += len(data)
-            if self.ahead > MAX_AHEAD_BYTES:
+        if self.state == _State.RESPONDING:
+            self.pipelined_bytes += len(data)
+            if self.pipelined_bytes > MAX_PIPELINED_BYTES:
                 self.abort()
             return
         self._read()
 
     def _read(self) -> None:
         try:
-            while self.phase == _Phase.READING and self._next_event():
+            while self.state == _State.READING and self._next_event():
                 pass
-        except h11.RemoteProtocolError as problem:
-            self._reject(problem.error_status_hint)
+        except h11.RemoteProtocolError as error:
+            self._reject(error.error_status_hint)
 
     def _next_event(self) -> bool:
         event = self.connection.next_event()
         if isinstance(event, h11.Request):
-            self._on_head(event)
+            self._on_headers(event)
             return True
         if isinstance(event, h11.Data):
             self._on_body(bytes(event.data))
             return True
         if isinstance(event, h11.EndOfMessage):
-            self._on_request()
+            self._on_complete_request()
             return False
         return False
 
-    def _on_head(self, head: h11.Request) -> None:
+    def _on_headers(self, head: h11.Request) -> None:
         self.head = head
-        self.parts.clear()
-        self.size = 0
+        self.body_parts.clear()
+        self.body_size = 0
         names = [name for name, _ in head.headers]
         if b'transfer-encoding' in names and b'content-length' in names:
-            # Two parsers could end this body at two places.
+            # Parsers may disagree where such a body ends (request smuggling).
             self._reject(400)
             return
         if not head.target.startswith(b'/'):
@@ -185,32 +185,32 @@
             )
 
     def _on_body(self, data: bytes) -> None:
-        self.parts.append(data)
-        self.size += len(data)
-        if self.size > self.site.limits().body_bytes:
+        self.body_parts.append(data)
+        self.body_size += len(data)
+        if self.body_size > self.site.limits().body_bytes:
             self._reject(413)
         else:
-            # A body may take long as long as it comes.
+            # A body may take any time as long as data keeps arriving.
             self._set_timer(self.site.limits().header_timeout_s)
 
-    def _on_request(self) -> None:
+    def _on_complete_request(self) -> None:
         assert self.head is not None
         headers = tuple((bytes(n), bytes(v)) for n, v in self.head.headers)
         request = _messages.HttpRequest(
             bytes(self.head.method),
             bytes(self.head.target),
             headers,
-            b''.join(self.parts),
+            b''.join(self.body_parts),
         )
-        self.parts.clear()
-        self.phase = _Phase.ANSWERING
-        self.ahead = 0
+        self.body_parts.clear()
+        self.state = _State.RESPONDING
+        self.pipelined_bytes = 0
         self._set_timer(None)
         self.exchange = Exchange(self, request)
         self.site.on_exchange(self.exchange)
 
     def _reject(self, status: int) -> None:
-        """Answer a request that can't be read, and close."""
+        """Respond to a request that is invalid or too slow, and close."""
         self.site.on_rejected(status)
         if self.connection.our_state is h11.SEND_RESPONSE or (
             self.connection.our_state is h11.IDLE
@@ -231,21 +231,21 @@
             h11.Response(
                 status_code=status,
                 headers=list(headers),
-                reason=REASONS.get(status, b''),
+                reason=REASON_PHRASES.get(status, b''),
             )
         )
 
     def send_event(self, event: Any) -> None:
-        """Write one part of an answer."""
-        if self.phase == _Phase.CLOSED:
+        """Write one h11 event of a response."""
+        if self.state == _State.CLOSED:
             return
         data = self.connection.send(event)
         if data:
             self.transport.write(data)
 
     def end_response(self) -> None:
-        """End the answer and take the next request if there is one."""
-        if self.phase == _Phase.CLOSED:
+        """End the response and read the next request, if any."""
+        if self.state == _State.CLOSED:
             return
         self.send_event(h11.EndOfMessage())
         self.exchange = None
@@ -255,29 +255,29 @@
             self._close()
             return
         self.connection.start_next_cycle()
-        self.phase = _Phase.READING
+        self.state = _State.READING
         self._set_timer(self.site.limits().idle_timeout_s)
         self._read()
         if (
-            self.phase == _Phase.READING
+            self.state == _State.READING
             and not (self.connection.trailing_data[0])
         ):
-            self.phase = _Phase.IDLE
+            self.state = _State.IDLE
 
     def abort(self) -> None:
         """Reset the connection."""
         self.exchange = None
-        if self.phase != _Phase.CLOSED:
-            self.phase = _Phase.CLOSED
+        if self.state != _State.CLOSED:
+            self.state = _State.CLOSED
             self.transport.abortConnection()
 
     def close_if_idle(self) -> None:
-        """Close a connection on which no request is under way."""
-        if self.phase == _Phase.IDLE:
+        """Close the connection if it has no open request."""
+        if self.state == _State.IDLE:
             self._close()
 
     def _close(self) -> None:
-        self.phase = _Phase.CLOSED
+        self.state = _State.CLOSED
         self._set_timer(None)
         self.transport.loseConnection()
 
@@ -290,14 +290,14 @@
 
     def _on_timeout(self) -> None:
         self.timer = None
-        if self.phase == _Phase.IDLE:
+        if self.state == _State.IDLE:
             self._close()
-        elif self.phase == _Phase.READING:
+        elif self.state == _State.READING:
             self._reject(408)
 
 
 class Site(protocol.Factory):
-    """A listening address with its limits and its handler."""
+    """A protocol factory with request limits and a handler."""
 
     noisy = False
 
@@ -308,7 +308,7 @@
         on_exchange: Callable[[Exchange], None],
         on_rejected: Callable[[int], None],
     ) -> None:
-        """Hand each whole request to on_exchange."""
+        """Pass each complete request to on_exchange."""
         self.reactor = reactor
         self.limits = limits
         self.on_exchange = on_exchange
@@ -321,6 +321,6 @@
         return ServerProtocol(self)
 
     def close_idle(self) -> None:
-        """Close the connections without a request under way."""
+        """Close the connections that have no open request."""
         for connection in list(self.connections):
             connection.close_if_idle()
