--- a/features/support/relay_hosts.py
+++ b/features/support/relay_hosts.py
@@ -292,7 +292,7 @@
         )
         exchange = fakes.LabExchange(self.clock, request)
         bound: Any = exchange
-        self.hosts[index]._on_call(bound)
+        self.hosts[index]._on_request(bound)
         return exchange
 
     def run(self, seconds: float) -> None:
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -1,4 +1,4 @@
-"""An entry host that relays: sockets, timers and what hosts share."""
+"""An entry host: its sockets, timers and the state shared by hosts."""
 
 from collections.abc import Callable
 import dataclasses
@@ -21,30 +21,30 @@
 import ragwort_state as state
 
 TICK_S = 0.1
-# Longest pause between tries to reach the store.
+# Longest delay between retries of store calls.
 MAX_STORE_BACKOFF_S = 1.2
-# Hosts up to which each one watches the store itself, so that the loss of
-# any of them delays nobody.
-ALL_WATCH_HOSTS = 12
-# Hosts that watch in larger fleets. A third of all may lose the store at once
-# without an error; that these are among them is one chance in 36,000.
-WATCHERS = 10
-WATCHER_ROLE = 'store-watcher'
-JANITOR_ROLE = 'host-janitor'
-# Time after which a host that is down is taken out of the store.
-GONE_FOR_GOOD_S = 60.0
-# Pause between tries of a host that knows no other: while it is alone it
-# gathers stage work for itself.
+# Largest fleet in which every host watches the store itself, so that the
+# loss of a host delays no other.
+MAX_ALL_WATCH_HOSTS = 12
+# Hosts that watch in larger fleets. A third of all hosts may lose the store
+# silently at once; the chance that all watchers are among them is 1 in 36,000.
+WATCHER_COUNT = 10
+STORE_WATCHER_ROLE = 'store-watcher'
+HOST_CLEANUP_ROLE = 'host-janitor'
+# Time after which the entry of a host that is down is deleted.
+HOST_EXPIRY_S = 60.0
+# Delay between join attempts of a host that knows no other: until it joins,
+# it batches stage work by itself.
 JOIN_INTERVAL_S = 0.25
-# Time for the store's own word before peers' word alone is served by.
-PEER_WORD_GRACE_S = 2.0
-# Time that a leaving host goes on taking connections, for callers that
-# still keep its address.
+# Time to wait for the store before serving with state from peers alone.
+STORE_SYNC_TIMEOUT_S = 2.0
+# Time that a leaving host still accepts connections, for callers that have
+# its address cached.
 LEAVE_ACCEPT_S = 2.6
 LISTEN_BACKLOG = 512
 ADDRESS_TTL_S = 2.0
 MAX_ADDRESSES = 64
-UNREADY_RETRY_S = 0.5
+NOT_READY_RETRY_S = 0.5
 HTTP_OK = 200
 HTTP_BAD_REQUEST = 400
 HTTP_UNAUTHORIZED = 401
@@ -53,19 +53,19 @@
 
 
 class Store:
-    """Carries out store calls; results come back by callback."""
+    """Executes store calls; a callback takes the results."""
 
     def call(self, effect: model.StoreCall) -> None:
-        """Carry out a call."""
+        """Execute a call."""
         raise NotImplementedError
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostOptions:
-    """What a host learns from its settings.
+    """Options of a host, read from its settings.
 
-    Addresses are IP numbers with ports. grace_s is how long a host may
-    take to leave; prefixes name the kinds of objects it follows.
+    Addresses are IP numbers with ports. grace_s is the time limit for
+    leaving; prefixes name the kinds of objects to watch.
     """
 
     host: model.EntryHost
@@ -84,7 +84,7 @@
 
 
 class RelayHost:
-    """One process of the system."""
+    """The relay process of an entry host."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
         directory: Callable[['RelayHost', _messages.HttpRequest], Any],
         logger: Any,
     ) -> None:
-        """Create everything; nothing listens yet."""
+        """Create all parts; start() opens the sockets."""
         self.reactor = reactor
         self.options = options
         self.dialect = dialect
@@ -139,7 +139,7 @@
             logger,
             options.host.name,
             self._send_peer,
-            self._stage_owners,
+            self._stage_owner_candidates,
         )
         self.context = _context.RelayContext(
             reactor,
@@ -154,11 +154,11 @@
             options.host.failure_domain,
         )
         self.open_requests: set[_request_handler.RequestHandler] = set()
-        self.front = _server.Site(
-            reactor, self._limits, self._on_call, self._on_rejected
+        self.caller_site = _server.Site(
+            reactor, self._limits, self._on_request, self._on_invalid_request
         )
         self.ports: list[Any] = []
-        self.front_port: Any = None
+        self.caller_port: Any = None
         self.leaving_at: float | None = None
         self.was_ready = False
         self.is_stopped = False
@@ -167,9 +167,11 @@
     # Start and stop.
 
     def start(self) -> None:
-        """Listen and begin to tick."""
+        """Open the sockets and start the periodic tick."""
         options = self.options
-        self.front_port = self._listen(options.host.caller_address, self.front)
+        self.caller_port = self._listen(
+            options.host.caller_address, self.caller_site
+        )
         handlers = [
             (options.ready_address, self._on_ready),
             (options.directory_address, self._on_directory),
@@ -178,7 +180,10 @@
             handlers.append((options.metrics_address, self._on_metrics))
         for address, handler in handlers:
             site = _server.Site(
-                self.reactor, relay.CallerLimits, handler, self._on_rejected
+                self.reactor,
+                relay.CallerLimits,
+                handler,
+                self._on_invalid_request,
             )
             self._listen(address, site)
         factory = peers.IncomingPeerFactory(
@@ -197,7 +202,7 @@
         return listening
 
     def reload(self, options: HostOptions) -> None:
-        """Take the options that can change while running."""
+        """Apply the options that can change at run time."""
         budget = self.budget
         budget.ratio = options.retry_ratio
         budget.slack = options.retry_slack
@@ -209,26 +214,26 @@
         self.logger.info('reload', seeds=list(options.seeds))
 
     def leave(self) -> None:
-        """Take no new callers, finish what is under way, then stop."""
+        """Stop accepting requests, finish the open ones, then stop."""
         if self.leaving_at is not None:
             return
         now = self.reactor.seconds()
         self.leaving_at = now
-        self.front.is_closing = True
+        self.caller_site.is_closing = True
         self.logger.info('leaving', open=len(self.open_requests))
         self.members.set_accepting(False, now)
         for message in self.members.announce(time.time()):
             self._send_peer(message)
 
-    def _leave_step(self, now: float) -> None:
+    def _continue_leaving(self, now: float) -> None:
         assert self.leaving_at is not None
         age_s = now - self.leaving_at
         if age_s < LEAVE_ACCEPT_S:
             return
-        if self.front_port is not None:
-            self.front_port.stopListening()
-            self.front_port = None
-        self.front.close_idle()
+        if self.caller_port is not None:
+            self.caller_port.stopListening()
+            self.caller_port = None
+        self.caller_site.close_idle()
         idle = not self.open_requests and self.stages.is_idle
         if idle or age_s >= self.options.grace_s - 2 * TICK_S:
             self._stop(now)
@@ -240,22 +245,22 @@
             self._send_peer(message)
         self.reactor.callLater(TICK_S, self.on_stopped)
 
-    # What hosts share.
+    # State shared by hosts.
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether requests can be served."""
-        return self.leaving_at is None and self.knows_enough
+        """Tell whether the host accepts requests."""
+        return self.leaving_at is None and self.has_synced_state
 
     @property
-    def knows_enough(self) -> bool:
-        """Tell whether configuration and runners are known."""
+    def has_synced_state(self) -> bool:
+        """Tell whether the configuration and the runners are known."""
         if self.catalog.configuration is None:
             return False
         if all(watcher.has_listed for watcher in self.watchers.values()):
             return True
         age_s = self.reactor.seconds() - self.started_at
-        return self.replica.synced and age_s >= PEER_WORD_GRACE_S
+        return self.replica.synced and age_s >= STORE_SYNC_TIMEOUT_S
 
     def _tick(self) -> None:
         now, wall = self.reactor.seconds(), time.time()
@@ -269,22 +274,22 @@
         self._register(now)
         self.budget.on_host_count(len(self.members.live()), now)
         self.peers.close_idle(now)
-        self._note_readiness(now)
+        self._update_readiness(now)
         for change in self.members.take_changes():
             update = change.update
             self.logger.info(
-                'member',
+                'member-changed',
                 member=update.name,
                 status=update.status.name,
                 accepting=update.accepting,
             )
         if self.leaving_at is not None:
-            self._leave_step(now)
+            self._continue_leaving(now)
         if self.is_stopped:
             return
         self.reactor.callLater(TICK_S, self._tick)
 
-    def _note_readiness(self, now: float) -> None:
+    def _update_readiness(self, now: float) -> None:
         if self.is_ready == self.was_ready:
             return
         self.was_ready = self.is_ready
@@ -293,27 +298,30 @@
         for message in self.members.announce(time.time()):
             self._send_peer(message)
 
-    def _is_watcher(self) -> bool:
-        if len(self.members.live()) <= ALL_WATCH_HOSTS:
+    def _is_store_watcher(self) -> bool:
+        if len(self.members.live()) <= MAX_ALL_WATCH_HOSTS:
             return True
         return membership.is_elected(
-            self.members, WATCHER_ROLE, WATCHERS, self.options.host.region
+            self.members,
+            STORE_WATCHER_ROLE,
+            WATCHER_COUNT,
+            self.options.host.region,
         )
 
     def _watch(self, now: float) -> None:
-        is_watcher = self._is_watcher()
+        is_watcher = self._is_store_watcher()
         for prefix, watcher in self.watchers.items():
             for call in watcher.tick(now, is_watcher):
-                named = dataclasses.replace(call, op=f'{prefix}{call.op}')
-                self.store.call(named)
+                prefixed = dataclasses.replace(call, op=f'{prefix}{call.op}')
+                self.store.call(prefixed)
 
     def _register(self, now: float) -> None:
-        """Keep this host's entry in the store, and read others' if alone."""
+        """Maintain this host's entry; read the others' if alone."""
         is_alone = len(self.members.live()) == 1
-        gone: list[str] = []
-        if membership.is_elected(self.members, JANITOR_ROLE, 1, None):
-            gone = self.members.departed_for(GONE_FOR_GOOD_S, now)
-        for call in self.registry.tick(now, is_alone, gone):
+        expired: list[str] = []
+        if membership.is_elected(self.members, HOST_CLEANUP_ROLE, 1, None):
+            expired = self.members.departed_for(HOST_EXPIRY_S, now)
+        for call in self.registry.tick(now, is_alone, expired):
             self.store.call(call)
 
     def _on_registry(self, result: model.StoreResult, now: float) -> None:
@@ -331,32 +339,34 @@
         for prefix, watcher in self.watchers.items():
             if not result.op.startswith(prefix):
                 continue
-            was_away = watcher.is_store_unavailable
-            own = dataclasses.replace(
+            was_unreachable = watcher.is_store_unavailable
+            unprefixed = dataclasses.replace(
                 result, op=result.op.removeprefix(prefix)
             )
-            if was_away and result.status == model.StoreStatus.OK:
+            if was_unreachable and result.status == model.StoreStatus.OK:
                 self.catalog.fleet.on_store_recovered(now)
-                self.logger.info('store-back', objects=prefix)
-            self._adopted(watcher.on_store_result(own, now), prefix)
-            if watcher.is_store_unavailable and not was_away:
+                self.logger.info('store-reachable', objects=prefix)
+            self._on_adopted(watcher.on_store_result(unprefixed, now), prefix)
+            if watcher.is_store_unavailable and not was_unreachable:
                 self.logger.warning(
-                    'store-away', objects=prefix, status=result.status
+                    'store-unreachable', objects=prefix, status=result.status
                 )
             self._watch(now)
 
-    def _adopted(self, objects: list[model.StoredObject], source: str) -> None:
+    def _on_adopted(
+        self, objects: list[model.StoredObject], source: str
+    ) -> None:
         if not objects:
             return
         if len(objects) <= state.MAX_RUMOURED_OBJECTS:
             self.gossip.add_rumours(
                 objects, len(self.members.peer_addresses())
             )
-            self._gossip_now()
+            self._send_gossip()
         configuration = self.catalog.configuration
         for item in objects:
             self.logger.info(
-                'adopted',
+                'object-adopted',
                 object=item.name,
                 version=item.version,
                 deleted=item.value is None,
@@ -367,7 +377,7 @@
         for service in list(self.stages.owner.batchers):
             self.stages.owner.pump_soon(service, 0.0)
 
-    def _gossip_now(self) -> None:
+    def _send_gossip(self) -> None:
         now = self.reactor.seconds()
         for message in self.gossip.tick(now, self.members.peer_addresses()):
             self._send_peer(message)
@@ -375,7 +385,7 @@
     def _send_peer(self, effect: model.SendPeerMessage) -> None:
         self.peers.send(effect, self.reactor.seconds())
 
-    def _stage_owners(self, service: str) -> list[str | None]:
+    def _stage_owner_candidates(self, service: str) -> list[str | None]:
         return membership.owner_addresses(
             self.members,
             f'stage/{service}',
@@ -394,7 +404,7 @@
     def _on_message(
         self, sender: str, message: model.PeerMessage, now: float, wall: float
     ) -> list[model.SendPeerMessage]:
-        """Hand a peer's message to whoever it is for."""
+        """Dispatch a peer's message; return the messages to send."""
         members, gossip = self.members, self.gossip
         match message:
             case model.Ping():
@@ -413,46 +423,44 @@
                 return gossip.on_want(sender, message)
             case model.StatePush():
                 count = len(members.peer_addresses())
-                self._adopted(gossip.on_push(message, now, count), 'peer')
+                self._on_adopted(gossip.on_push(message, now, count), 'peer')
             case _:
                 self.stages.on_peer(sender, message)
         return []
 
-    # Callers.
+    # Requests.
 
     def _limits(self) -> relay.CallerLimits:
         configuration = self.catalog.configuration
         return configuration.limits if configuration else relay.CallerLimits()
 
-    def _on_rejected(self, status: int) -> None:
+    def _on_invalid_request(self, status: int) -> None:
         self.metrics.rejected.labels(status).inc()
-        self.logger.info('rejected', status=status)
+        self.logger.info('request-invalid', status=status)
 
-    def _on_call(self, exchange: _server.Exchange) -> None:
+    def _on_request(self, exchange: _server.Exchange) -> None:
         configuration = self.catalog.configuration
-        if configuration is None or not self.knows_enough:
-            self._turn_away(exchange, HTTP_UNAVAILABLE, 'no configuration yet')
+        if configuration is None or not self.has_synced_state:
+            self._reject(exchange, HTTP_UNAVAILABLE, 'no configuration yet')
             return
         request = exchange.request
         try:
             metadata = self.dialect.read_request(request)
         except model.InvalidInputError as error:
-            self._turn_away(exchange, HTTP_BAD_REQUEST, str(error))
+            self._reject(exchange, HTTP_BAD_REQUEST, str(error))
             return
         host = (request.header(b'host') or b'').decode('latin-1').lower()
         name = host.rpartition(':')[0] if ':' in host else host
         route = configuration.find_route(name, request.path)
         if route is None:
-            self._turn_away(
-                exchange, HTTP_NOT_FOUND, 'no such route', metadata
-            )
+            self._reject(exchange, HTTP_NOT_FOUND, 'no such route', metadata)
             return
         workspace = None
         if configuration.workspaces and not route.is_public:
             key = metadata.access_key or ''
             workspace = configuration.workspaces_by_key.get(key)
             if workspace is None:
-                self._turn_away(
+                self._reject(
                     exchange, HTTP_UNAUTHORIZED, 'unknown key', metadata
                 )
                 return
@@ -468,7 +476,7 @@
         self.open_requests.add(handler)
         handler.start()
 
-    def _turn_away(
+    def _reject(
         self,
         exchange: _server.Exchange,
         status: int,
@@ -478,13 +486,13 @@
         configuration = self.catalog.configuration
         self.metrics.rejected.labels(status).inc()
         self.logger.info(
-            'turned-away',
+            'request-rejected',
             request=metadata.request_id if metadata else None,
             status=status,
             reason=reason,
             version=configuration.version if configuration else None,
         )
-        retry_s = UNREADY_RETRY_S if status == HTTP_UNAVAILABLE else None
+        retry_s = NOT_READY_RETRY_S if status == HTTP_UNAVAILABLE else None
         exchange.respond(self.dialect.error_response(status, retry_s, reason))
 
     def _on_ready(self, exchange: _server.Exchange) -> None:
@@ -501,7 +509,7 @@
         )
 
     def addresses(self, failure_domain: str, caller: str) -> list[str]:
-        """Return the addresses that callers should pick from at random."""
+        """Return the addresses for callers to choose from at random."""
         found = membership.entry_members(self.members, failure_domain, caller)
         if not found:
             found = self.members.live()
