--- a/features/support/relay_hosts.py
+++ b/features/support/relay_hosts.py
@@ -239,7 +239,7 @@
         )
         client: Any = self.network
         host.client = host.context.client = client
-        host.stages.owner.client = client
+        host.stages.local_owner.client = client
         links: Any = FakeLinks(self, entry.peer_address)
         host.peers = links
 
--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -374,8 +374,8 @@
                 problem=self.catalog.problems.get(item.name),
                 in_force=configuration.version if configuration else None,
             )
-        for service in list(self.stages.owner.batchers):
-            self.stages.owner.pump_soon(service, 0.0)
+        for service in list(self.stages.local_owner.batchers):
+            self.stages.local_owner.pump_soon(service, 0.0)
 
     def _send_gossip(self) -> None:
         now = self.reactor.seconds()
--- a/libs/ragwort_edge/ragwort_edge/_stage_service.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_service.py
@@ -76,7 +76,7 @@
         self.owner_candidates = owner_candidates
         self.catalog = catalog
         self.waits = relay.QueueWaits()
-        self.owner = _stage_owner.StageOwner(
+        self.local_owner = _stage_owner.StageOwner(
             reactor,
             client,
             dialect,
@@ -103,13 +103,13 @@
     @property
     def is_idle(self) -> bool:
         """Tell whether nothing is gathered or asked for."""
-        return not self.owner.owned and not self.pending
+        return not self.local_owner.owned and not self.pending
 
     def refresh_waits(self, services: Iterable[str]) -> None:
         """Bring up to date what is known of queues at this host."""
         for service in services:
             if self._owner(service) is None:
-                self.owner.note_wait(service)
+                self.local_owner.note_wait(service)
 
     def _owner(self, service: str) -> str | None:
         """Return the first owner that is not silent, None for this host."""
@@ -223,21 +223,21 @@
         pending.owner = None
         group = pending.group
         group.work = [w for w in group.work if w.piece not in pending.outcomes]
-        self.owner.gather(pending.service, group, None)
+        self.local_owner.gather(pending.service, group, None)
 
     def on_peer(self, sender: str, message: model.PeerMessage) -> None:
         """Take a peer's message if it is about stages."""
         match message:
             case model.StageAsk():
-                self.owner.on_ask(sender, message)
+                self.local_owner.on_ask(sender, message)
             case model.StageTaken():
                 self.on_taken(message)
             case model.StageReply():
                 self.on_reply(message)
             case model.StageDrop():
-                self.owner.on_drop(message)
+                self.local_owner.on_drop(message)
             case model.StageRelease():
-                self.owner.on_release(message)
+                self.local_owner.on_release(message)
 
     def on_reply(self, message: model.StageReply) -> None:
         """Take outcomes from an owner."""
@@ -295,7 +295,7 @@
     def _release_unwanted(self, outcomes: list[model.PieceOutcome]) -> None:
         handles = [o.handle for o in outcomes if o.handle]
         if handles:
-            self.owner.queue_release(handles)
+            self.local_owner.queue_release(handles)
 
     def _abandon(self, group_id: str) -> None:
         pending = self.pending.pop(group_id, None)
@@ -304,7 +304,9 @@
         self._stop_timer(pending)
         self._release_unwanted(list(pending.outcomes.values()))
         if pending.owner is None:
-            self.owner.on_drop(model.StageDrop(group_id, pending.service))
+            self.local_owner.on_drop(
+                model.StageDrop(group_id, pending.service)
+            )
         else:
             drop = model.StageDrop(group_id, pending.service)
             self.send_peer(model.SendPeerMessage(pending.owner, drop))
@@ -328,6 +330,6 @@
         for maker, made in by_maker.items():
             message = model.StageRelease(service, made)
             if maker is None:
-                self.owner.on_release(message)
+                self.local_owner.on_release(message)
             else:
                 self.send_peer(model.SendPeerMessage(maker, message))
--- a/libs/ragwort_lab/ragwort_lab/_stage_bench.py
+++ b/libs/ragwort_lab/ragwort_lab/_stage_bench.py
@@ -171,7 +171,9 @@
         world.owners = lambda service: []
     if rule != StageRule.TIMELY_FIRST:
         for host in world.hosts:
-            host.stages.owner.choose_timely = _by_due_time(pattern.limits)
+            host.stages.local_owner.choose_timely = _by_due_time(
+                pattern.limits
+            )
     figures = StageFigures()
     at = 0.0
     index = 0
