--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -375,7 +375,7 @@
                 in_force=configuration.version if configuration else None,
             )
         for service in list(self.stages.local_owner.batchers):
-            self.stages.local_owner.pump_soon(service, 0.0)
+            self.stages.local_owner.schedule_dispatch(service, 0.0)
 
     def _send_gossip(self) -> None:
         now = self.reactor.seconds()
--- a/libs/ragwort_edge/ragwort_edge/_stage_owner.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_owner.py
@@ -1,4 +1,4 @@
-"""Gathering the pieces of all hosts into calls to stage runners."""
+"""Batching the pieces of all hosts into calls to stage runners."""
 
 import collections
 from collections.abc import Callable
@@ -15,33 +15,33 @@
 
 RELEASE_DELAY_S = 0.015
 RELEASE_TIMEOUT_S = 1.0
-# Pause between questions for a runner's room: results live for seconds.
-ROOM_CHECK_S = 0.4
-MAX_SENDS = 3
-# Groups whose outcomes an owner keeps to answer a second question.
-MAX_FINISHED = 256
-# How long a runner that turned a call away is passed over.
-FULL_PAUSE_S = 0.15
-# Pause between looks at a queue that no event empties.
-PUMP_S = 0.05
+# Interval of checks of a runner's room; results live for seconds.
+ROOM_CHECK_INTERVAL_S = 0.4
+MAX_SENDS_PER_PIECE = 3
+# Finished groups whose outcomes are kept to answer a repeated StageAsk.
+MAX_FINISHED_GROUPS = 256
+# Time to avoid a runner that rejected or lost a call.
+AVOID_RUNNER_S = 0.15
+# Interval of dispatches while pieces stay queued.
+DISPATCH_INTERVAL_S = 0.05
 
 OnOutcomes = Callable[[str, list[model.PieceOutcome]], None]
 
 
 @dataclasses.dataclass(slots=True)
-class _Owned:
-    """Where the outcomes of a group gathered here go."""
+class _OwnedGroup:
+    """A group queued here, its origin and its outcomes so far."""
 
     service: str
     origin: str | None
-    left: int
+    pieces_left: int
     outcomes: list[model.PieceOutcome] = dataclasses.field(
         default_factory=list
     )
 
 
 class StageOwner:
-    """Gathers pieces, calls runners, and keeps count of their room."""
+    """Batches pieces, calls runners and tracks their room for results."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         send_peer: Callable[[model.SendPeerMessage], None],
         on_outcomes: OnOutcomes,
     ) -> None:
-        """Bind to what calls runners; on_outcomes takes this host's own."""
+        """Pass the outcomes of this host's own groups to on_outcomes."""
         self.reactor = reactor
         self.client = client
         self.dialect = dialect
@@ -68,18 +68,18 @@
         self.choose_timely: relay.ChooseTimely = relay.timely_groups
         self.send_peer = send_peer
         self.on_outcomes = on_outcomes
-        self.owned: dict[str, _Owned] = {}
-        self.finished: collections.OrderedDict[str, _Owned] = (
+        self.owned: dict[str, _OwnedGroup] = {}
+        self.finished: collections.OrderedDict[str, _OwnedGroup] = (
             collections.OrderedDict()
         )
         self.batchers: dict[str, relay.Batcher] = {}
         self.releases: dict[str, list[str]] = {}
         self.release_timer: Any = None
-        self.room_checks: dict[str, float] = {}
-        self.pump_timers: dict[str, Any] = {}
+        self.room_check_due: dict[str, float] = {}
+        self.dispatch_timers: dict[str, Any] = {}
 
-    def note_wait(self, service: str) -> None:
-        """Bring what is known of a queue at this host up to date."""
+    def update_wait(self, service: str) -> None:
+        """Update the known queueing times of a service's local queue."""
         batcher = self._batcher(service)
         if batcher is not None:
             now = self.reactor.seconds()
@@ -87,20 +87,20 @@
             self.waits.update(service, batcher.queue_wait(runners, now))
 
     def _known_waits(self, service: str) -> list[model.ServiceWait]:
-        self.note_wait(service)
+        self.update_wait(service)
         now = self.reactor.seconds()
         return [
             model.ServiceWait(
                 name,
-                list(word.waits_s),
-                word.late_wait_s,
-                now - word.measured_at,
+                list(wait.waits_s),
+                wait.late_wait_s,
+                now - wait.measured_at,
             )
-            for name, word in self.waits.recent(now).items()
+            for name, wait in self.waits.recent(now).items()
         ]
 
     def on_ask(self, sender: str, message: model.StageAsk) -> None:
-        """Take a group from another host, or say that it is here."""
+        """Acknowledge another host's group; queue it if it is new."""
         now = self.reactor.seconds()
         waits = self._known_waits(message.service_name)
         taken = model.StageTaken(message.group, waits)
@@ -109,7 +109,7 @@
             return
         finished = self.finished.get(message.group)
         if finished is not None:
-            # The question crossed the answer, or the answer was lost.
+            # The StageAsk crossed the StageReply, or the reply was lost.
             self._reply(message.group, finished, finished.outcomes)
             return
         group = relay.PieceGroup(
@@ -126,10 +126,10 @@
             message.result_bytes,
             message.failure_domain,
         )
-        self.gather(message.service_name, group, sender)
+        self.enqueue(message.service_name, group, sender)
 
     def on_drop(self, message: model.StageDrop) -> None:
-        """Drop a group that nobody wants any more."""
+        """Drop a cancelled group."""
         self.owned.pop(message.group, None)
         batcher = self._batcher(message.service_name)
         if batcher is not None:
@@ -151,43 +151,45 @@
         known.limits = spec.batch_limits
         return known
 
-    def gather(
+    def enqueue(
         self, service: str, group: relay.PieceGroup, origin: str | None
     ) -> None:
         """Queue a group; its outcomes go to origin, None for this host."""
         batcher = self._batcher(service)
-        self.owned[group.group_id] = _Owned(service, origin, len(group.work))
+        self.owned[group.group_id] = _OwnedGroup(
+            service, origin, len(group.work)
+        )
         if batcher is None:
-            self._settle(group, [w.piece for w in group.work], 'error')
+            self._fail_pieces(group, [w.piece for w in group.work], 'error')
             return
         self.budget.on_request(service, self.reactor.seconds())
         batcher.add(group)
-        self.pump_soon(service, 0.0)
+        self.schedule_dispatch(service, 0.0)
 
-    def pump_soon(self, service: str, delay_s: float) -> None:
-        """Form calls of what waits for a service after a delay."""
-        timer = self.pump_timers.get(service)
+    def schedule_dispatch(self, service: str, delay_s: float) -> None:
+        """Send queued pieces of a service to runners after a delay."""
+        timer = self.dispatch_timers.get(service)
         if timer is not None and timer.active():
             if timer.getTime() <= self.reactor.seconds() + delay_s:
                 return
             timer.cancel()
-        self.pump_timers[service] = self.reactor.callLater(
-            delay_s, self._pump, service
+        self.dispatch_timers[service] = self.reactor.callLater(
+            delay_s, self._dispatch, service
         )
 
     def _check_room(self, batcher: relay.Batcher, runners: Any) -> None:
-        """Ask runners for their room where others' results may lie."""
+        """Query the room of runners that may hold results of others."""
         now = self.reactor.seconds()
         for runner in runners:
-            due = self.room_checks.get(runner.name, -math.inf)
+            due = self.room_check_due.get(runner.name, -math.inf)
             if now < due or not batcher.may_hold_foreign_results(
                 runner.name, now
             ):
                 continue
-            self.room_checks[runner.name] = now + ROOM_CHECK_S
+            self.room_check_due[runner.name] = now + ROOM_CHECK_INTERVAL_S
             request = self.dialect.room_request(runner.address)
             done = _client.fetch(
-                self.client, runner.address, request, ROOM_CHECK_S
+                self.client, runner.address, request, ROOM_CHECK_INTERVAL_S
             )
             done.addCallback(self._on_room, batcher, runner)
             done.addErrback(self._on_room_error, runner)
@@ -212,26 +214,26 @@
     def _on_room_error(self, failure: Any, runner: relay.FleetRunner) -> None:
         failure.trap(_client.CallError, model.WireError)
         self.logger.info(
-            'room-unknown',
+            'room-check-failed',
             runner=runner.name,
             detail=failure.getErrorMessage(),
         )
 
-    def _pump(self, service: str) -> None:
+    def _dispatch(self, service: str) -> None:
         batcher = self._batcher(service)
         if batcher is None:
             return
         now = self.reactor.seconds()
         runners = self.catalog.fleet.usable(service, now)
         for piece in batcher.remove_too_late(runners, now):
-            self._settle(piece.group, [piece.work.piece], 'late')
+            self._fail_pieces(piece.group, [piece.work.piece], 'late')
         if batcher.queue:
             self._check_room(batcher, runners)
         following_s = self._following_wait_s(service, now)
         for call in batcher.next_calls(runners, now, following_s):
-            self._send(service, batcher, call)
+            self._send_call(service, batcher, call)
         if batcher.queue:
-            self.pump_soon(service, PUMP_S)
+            self.schedule_dispatch(service, DISPATCH_INTERVAL_S)
 
     def _following_wait_s(self, service: str, now: float) -> float:
         configuration = self.catalog.configuration
@@ -240,7 +242,7 @@
         following = configuration.downstream_services.get(service, ())
         return self.waits.max_late_wait_s(following, now)
 
-    def _send(
+    def _send_call(
         self, service: str, batcher: relay.Batcher, call: relay.BatchCall
     ) -> None:
         request = self.dialect.stage_request(call, self.reactor.seconds())
@@ -252,12 +254,12 @@
             self.client, call.runner.address, request, call.timeout_s
         )
         done.addCallbacks(
-            self._on_answer,
+            self._on_response,
             self._on_error,
             callbackArgs=(service, batcher, call),
             errbackArgs=(service, batcher, call),
         )
-        done.addErrback(self._on_defect)
+        done.addErrback(self._on_unhandled_error)
 
     def _log_call(
         self, service: str, batcher: relay.Batcher, call: relay.BatchCall
@@ -278,10 +280,12 @@
             slowness=round(call.runner.slowness, 2),
         )
 
-    def _on_defect(self, failure: Any) -> None:
-        self.logger.error('defect', detail=failure.getTraceback()[-1500:])
+    def _on_unhandled_error(self, failure: Any) -> None:
+        self.logger.error(
+            'unhandled-error', detail=failure.getTraceback()[-1500:]
+        )
 
-    def _on_answer(
+    def _on_response(
         self,
         response: _messages.HttpResponse,
         service: str,
@@ -297,35 +301,39 @@
             if reply.is_misdirected:
                 call.runner.is_misdirected = True
             state.on_failure(model.CallFailure.OVERLOADED, now)
-            state.backoff_until = max(state.backoff_until, now + FULL_PAUSE_S)
-            self._again(service, batcher, call, f'status {response.status}')
+            state.backoff_until = max(
+                state.backoff_until, now + AVOID_RUNNER_S
+            )
+            self._on_failed_call(
+                service, batcher, call, f'status {response.status}'
+            )
             return
         try:
             results = self.dialect.read_stage_reply(response, len(call.pieces))
         except model.WireError as error:
             state.on_failure(model.CallFailure.PROTOCOL, now)
-            self._again(service, batcher, call, str(error))
+            self._on_failed_call(service, batcher, call, str(error))
             return
         state.on_result(now - call.sent_at, now - call.sent_at, now)
         batcher.on_answer(call, [r.handle for r in results], now)
-        self._on_results(service, batcher, call, results)
+        self._on_piece_results(service, batcher, call, results)
 
-    def _on_results(
+    def _on_piece_results(
         self,
         service: str,
         batcher: relay.Batcher,
         call: relay.BatchCall,
         results: Any,
     ) -> None:
-        made: dict[str, list[model.PieceOutcome]] = {}
-        again: list[relay.QueuedPiece] = []
-        unwanted: list[str] = []
+        by_group: dict[str, list[model.PieceOutcome]] = {}
+        retries: list[relay.QueuedPiece] = []
+        unneeded: list[str] = []
         for piece, result in zip(call.pieces, results, strict=True):
             self.metrics.pieces.labels(service, result.result).inc()
             group_id = piece.group.group_id
             if result.result != _dialect.PieceResult.MADE:
                 self.logger.info(
-                    'piece-not-made',
+                    'piece-failed',
                     request=piece.work.request_id,
                     service=service,
                     stage=piece.work.stage,
@@ -334,26 +342,29 @@
                     result=result.result,
                     wanted=group_id in self.owned,
                 )
-            retry = (_dialect.PieceResult.NO_ROOM, _dialect.PieceResult.ERROR)
+            retryable = (
+                _dialect.PieceResult.NO_ROOM,
+                _dialect.PieceResult.ERROR,
+            )
             if group_id not in self.owned:
                 if result.handle:
-                    unwanted.append(result.handle)
-            elif result.result in retry:
+                    unneeded.append(result.handle)
+            elif result.result in retryable:
                 if result.result == _dialect.PieceResult.NO_ROOM:
                     size = piece.group.result_bytes
                     batcher.on_storage_full(call, size, self.reactor.seconds())
-                again.append(piece)
+                retries.append(piece)
             else:
                 reason = None if result.handle else str(result.result)
-                made.setdefault(group_id, []).append(
+                by_group.setdefault(group_id, []).append(
                     model.PieceOutcome(piece.work.piece, result.handle, reason)
                 )
-        if unwanted:
-            self.queue_release(unwanted)
-        for group_id, outcomes in made.items():
+        if unneeded:
+            self.queue_release(unneeded)
+        for group_id, outcomes in by_group.items():
             self._deliver(group_id, outcomes)
-        self._requeue(service, batcher, again, 'room or error')
-        self.pump_soon(service, 0.0)
+        self._requeue(service, batcher, retries, 'room or error')
+        self.schedule_dispatch(service, 0.0)
 
     def _on_error(
         self,
@@ -373,11 +384,11 @@
             call.runner.state.backoff_until = now + call.timeout_s
         else:
             kind = model.CallFailure.LOST
-            call.runner.state.backoff_until = now + FULL_PAUSE_S
+            call.runner.state.backoff_until = now + AVOID_RUNNER_S
         call.runner.state.on_failure(kind, now)
-        self._again(service, batcher, call, str(failure.value))
+        self._on_failed_call(service, batcher, call, str(failure.value))
 
-    def _again(
+    def _on_failed_call(
         self,
         service: str,
         batcher: relay.Batcher,
@@ -394,7 +405,7 @@
         )
         wanted = [p for p in call.pieces if p.group.group_id in self.owned]
         self._requeue(service, batcher, wanted, reason)
-        self.pump_soon(service, 0.0)
+        self.schedule_dispatch(service, 0.0)
 
     def _requeue(
         self,
@@ -406,13 +417,13 @@
         now = self.reactor.seconds()
         for piece in pieces:
             group = piece.group
-            within = group.sends < MAX_SENDS * len(group.work)
-            if within and self.budget.take(service, now):
+            may_resend = group.sends < MAX_SENDS_PER_PIECE * len(group.work)
+            if may_resend and self.budget.take(service, now):
                 batcher.queue.append(piece)
             else:
-                self._settle(group, [piece.work.piece], 'error')
+                self._fail_pieces(group, [piece.work.piece], 'error')
 
-    def _settle(
+    def _fail_pieces(
         self, group: relay.PieceGroup, pieces: list[int], reason: str
     ) -> None:
         outcomes = [model.PieceOutcome(p, None, reason) for p in pieces]
@@ -424,23 +435,23 @@
         owned = self.owned.get(group_id)
         if owned is None:
             return
-        owned.left -= len(outcomes)
+        owned.pieces_left -= len(outcomes)
         owned.outcomes += outcomes
-        if owned.left <= 0:
+        if owned.pieces_left <= 0:
             del self.owned[group_id]
         if owned.origin is None:
             self.on_outcomes(group_id, outcomes)
             return
-        if owned.left <= 0:
+        if owned.pieces_left <= 0:
             self.finished[group_id] = owned
-            while len(self.finished) > MAX_FINISHED:
+            while len(self.finished) > MAX_FINISHED_GROUPS:
                 self.finished.popitem(last=False)
         self._reply(group_id, owned, outcomes)
 
     def _reply(
         self,
         group_id: str,
-        owned: _Owned,
+        owned: _OwnedGroup,
         outcomes: list[model.PieceOutcome],
     ) -> None:
         if owned.origin is None:
@@ -450,12 +461,12 @@
         self.send_peer(model.SendPeerMessage(owned.origin, reply))
 
     def queue_release(self, handles: list[str]) -> None:
-        """Free results at their runners, several with one call."""
+        """Free results at their runners, with one call for each runner."""
         for handle in handles:
             address = self.dialect.handle_address(handle)
             self.releases.setdefault(address, []).append(handle)
-        is_awaited = any(g.queue for g in self.batchers.values())
-        delay_s = 0.0 if is_awaited else RELEASE_DELAY_S
+        is_room_needed = any(g.queue for g in self.batchers.values())
+        delay_s = 0.0 if is_room_needed else RELEASE_DELAY_S
         if self.release_timer is None:
             self.release_timer = self.reactor.callLater(
                 delay_s, self._send_releases
@@ -469,7 +480,7 @@
             done = _client.fetch(
                 self.client, address, request, RELEASE_TIMEOUT_S
             )
-            # A result that is not freed goes by itself in a few seconds.
+            # A result that is not freed expires after a few seconds.
             done.addErrback(
                 lambda failure: self.logger.info(
                     'release-failed', detail=failure.getErrorMessage()
@@ -478,8 +489,8 @@
             done.addCallback(self._on_released, handles)
 
     def _on_released(self, _: object, handles: list[str]) -> None:
-        """Count room as free once its runner has freed it, not before."""
+        """Count room as free only after the runner has freed it."""
         for service, batcher in self.batchers.items():
             batcher.release(handles)
             if batcher.queue:
-                self.pump_soon(service, 0.0)
+                self.schedule_dispatch(service, 0.0)
--- a/libs/ragwort_edge/ragwort_edge/_stage_service.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_service.py
@@ -1,4 +1,4 @@
-"""Asking a stage service's owner for pieces, or this host without one."""
+"""Submission of stage work to the service's owner, or to this host."""
 
 import collections
 from collections.abc import Callable
@@ -19,17 +19,17 @@
 import ragwort_relay as relay
 
 # Time for an owner to acknowledge work: a few round trips between
-# failure domains, and its loop being busy.
-ACKNOWLEDGE_S = 0.12
-# Time to pass over an owner that did not acknowledge.
+# failure domains and a busy event loop.
+ACK_TIMEOUT_S = 0.12
+# Time to avoid an owner that did not acknowledge.
 AVOID_OWNER_S = 1.0
-# Time after which an owner that brought nothing is asked for a sign.
-OWNER_CHECK_S = 0.4
-# Groups whose handles a host remembers, to know an answer that came twice.
+# Interval of repeated asks that check that an owner is alive.
+OWNER_CHECK_INTERVAL_S = 0.4
+# Delivered groups whose handles are kept to recognise a repeated reply.
 MAX_DELIVERED = 256
-# Results of which a host remembers who made them.
+# Results whose owner is remembered for their release.
 MAX_HANDLE_OWNERS = 8192
-# Hosts that take over a stage service in turn when its owner is silent.
+# Owner of a stage service and the hosts that replace it when it is silent.
 OWNER_CANDIDATES = 3
 
 Outcomes = dict[int, model.PieceOutcome]
@@ -37,19 +37,19 @@
 
 @dataclasses.dataclass(slots=True)
 class _PendingGroup:
-    """A group that a request here waits for."""
+    """A group that one of this host's requests waits for."""
 
     group: relay.PieceGroup
     service: str
     done: 'defer.Deferred[Outcomes]'
-    asked_at: float
+    submitted_at: float
     outcomes: Outcomes = dataclasses.field(default_factory=dict)
     owner: str | None = None
     timer: Any = None
 
 
 class StageService:
-    """Has pieces made for requests here, and results freed."""
+    """Runs pieces for this host's requests and frees their results."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         send_peer: Callable[[model.SendPeerMessage], None],
         owner_candidates: Callable[[str], Sequence[str | None]],
     ) -> None:
-        """Bind to what calls runners and peers.
+        """Submit work through peers, or through an owner on this host.
 
         owner_candidates returns the peer addresses of the hosts that may own a
         service, best first, None for this host.
@@ -88,9 +88,9 @@
             send_peer,
             self._on_outcomes,
         )
-        self.ids = itertools.count(1)
-        # Unlike the steady clock's, no start has the same twice.
-        self.prefix = f'{name}/{time.time_ns()}'
+        self.group_numbers = itertools.count(1)
+        # Wall time, as the steady clock may repeat values after a restart.
+        self.group_prefix = f'{name}/{time.time_ns()}'
         self.pending: dict[str, _PendingGroup] = {}
         self.delivered: collections.OrderedDict[str, frozenset[str]] = (
             collections.OrderedDict()
@@ -102,17 +102,17 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing is gathered or asked for."""
+        """Tell whether no group is queued or pending here."""
         return not self.local_owner.owned and not self.pending
 
     def refresh_waits(self, services: Iterable[str]) -> None:
-        """Bring up to date what is known of queues at this host."""
+        """Update the known queueing times of local queues."""
         for service in services:
-            if self._owner(service) is None:
-                self.local_owner.note_wait(service)
+            if self._choose_owner(service) is None:
+                self.local_owner.update_wait(service)
 
-    def _owner(self, service: str) -> str | None:
-        """Return the first owner that is not silent, None for this host."""
+    def _choose_owner(self, service: str) -> str | None:
+        """Return the first candidate not avoided, None for this host."""
         for owner in self.owner_candidates(service):
             if owner is None or not self._is_avoided(owner):
                 return owner
@@ -127,21 +127,21 @@
         self, service: str, group: relay.PieceGroup
     ) -> 'defer.Deferred[Outcomes]':
         """Return the outcome of each piece; cancelling drops the group."""
-        group.group_id = f'{self.prefix}/{next(self.ids)}'
+        group.group_id = f'{self.group_prefix}/{next(self.group_numbers)}'
         done: defer.Deferred[Outcomes] = defer.Deferred(
-            lambda _: self._abandon(group.group_id)
+            lambda _: self._cancel(group.group_id)
         )
         pending = _PendingGroup(group, service, done, self.reactor.seconds())
         self.pending[group.group_id] = pending
-        owner = self._owner(service)
+        owner = self._choose_owner(service)
         if owner is None:
-            self._make_here(pending)
+            self._enqueue_here(pending)
         else:
-            self._ask(pending, owner)
+            self._send_to_owner(pending, owner)
         return done
 
-    def _ask(self, pending: _PendingGroup, owner: str) -> None:
-        """Send a group to its owner; once more is a check for a sign."""
+    def _send_to_owner(self, pending: _PendingGroup, owner: str) -> None:
+        """Send a group to its owner, or again to check that it is alive."""
         group = pending.group
         now = self.reactor.seconds()
         pending.owner = owner
@@ -162,43 +162,43 @@
             group.failure_domain,
         )
         self.send_peer(model.SendPeerMessage(owner, message))
-        self._set_timer(pending, ACKNOWLEDGE_S, self._on_silent_owner)
+        self._set_timer(pending, ACK_TIMEOUT_S, self._on_owner_timeout)
 
     def on_taken(self, message: model.StageTaken) -> None:
-        """Take an owner's word that it has a group."""
+        """Handle an owner's acknowledgement of a group."""
         pending = self.pending.get(message.group)
         if pending is None or pending.owner is None:
             return
-        self._hear_waits(message.waits)
-        self._set_timer(pending, OWNER_CHECK_S, self._check_owner)
+        self._update_waits(message.waits)
+        self._set_timer(pending, OWNER_CHECK_INTERVAL_S, self._check_owner)
 
-    def _hear_waits(self, waits: Iterable[model.ServiceWait]) -> None:
+    def _update_waits(self, waits: Iterable[model.ServiceWait]) -> None:
         now = self.reactor.seconds()
         for wait in waits:
-            word = relay.QueueWait(
+            queue_wait = relay.QueueWait(
                 tuple(wait.waits_s),
                 wait.late_wait_s,
                 now - max(wait.age_s, 0.0),
             )
-            self.waits.update(wait.service_name, word)
+            self.waits.update(wait.service_name, queue_wait)
 
     def _check_owner(self, group_id: str) -> None:
         pending = self.pending.get(group_id)
         if pending is not None and pending.owner is not None:
-            self._ask(pending, pending.owner)
+            self._send_to_owner(pending, pending.owner)
 
     def _set_timer(
         self,
         pending: _PendingGroup,
         delay_s: float,
-        on_time: Callable[[str], None],
+        on_timeout: Callable[[str], None],
     ) -> None:
         self._stop_timer(pending)
         pending.timer = self.reactor.callLater(
-            delay_s, on_time, pending.group.group_id
+            delay_s, on_timeout, pending.group.group_id
         )
 
-    def _on_silent_owner(self, group_id: str) -> None:
+    def _on_owner_timeout(self, group_id: str) -> None:
         pending = self.pending.get(group_id)
         if pending is None or pending.owner is None:
             return
@@ -206,27 +206,27 @@
         pending.timer = None
         self.avoided_owners[owner] = self.reactor.seconds() + AVOID_OWNER_S
         self.logger.warning(
-            'stage-owner-silent',
+            'stage-owner-timeout',
             service=pending.service,
             owner=owner,
             request=pending.group.work[0].request_id,
         )
         drop = model.StageDrop(group_id, pending.service)
         self.send_peer(model.SendPeerMessage(owner, drop, True))
-        another = self._owner(pending.service)
-        if another is None:
-            self._make_here(pending)
+        next_owner = self._choose_owner(pending.service)
+        if next_owner is None:
+            self._enqueue_here(pending)
         else:
-            self._ask(pending, another)
+            self._send_to_owner(pending, next_owner)
 
-    def _make_here(self, pending: _PendingGroup) -> None:
+    def _enqueue_here(self, pending: _PendingGroup) -> None:
         pending.owner = None
         group = pending.group
         group.work = [w for w in group.work if w.piece not in pending.outcomes]
-        self.local_owner.gather(pending.service, group, None)
+        self.local_owner.enqueue(pending.service, group, None)
 
     def on_peer(self, sender: str, message: model.PeerMessage) -> None:
-        """Take a peer's message if it is about stages."""
+        """Handle a peer's message about stages; ignore any other."""
         match message:
             case model.StageAsk():
                 self.local_owner.on_ask(sender, message)
@@ -240,8 +240,8 @@
                 self.local_owner.on_release(message)
 
     def on_reply(self, message: model.StageReply) -> None:
-        """Take outcomes from an owner."""
-        self._hear_waits(message.waits)
+        """Handle outcomes from an owner."""
+        self._update_waits(message.waits)
         self._on_outcomes(message.group, message.outcomes)
 
     def _on_outcomes(
@@ -249,9 +249,9 @@
     ) -> None:
         pending = self.pending.get(group_id)
         if pending is None:
-            # An answer that came twice names results that are in use.
+            # A repeated reply names results that are in use.
             used = self.delivered.get(group_id, frozenset())
-            self._release_unwanted(
+            self._release_unneeded(
                 [o for o in outcomes if o.handle not in used]
             )
             return
@@ -264,7 +264,7 @@
         pieces = {work.piece for work in pending.group.work}
         if pieces <= pending.outcomes.keys():
             self._stop_timer(pending)
-            self._log_made(pending)
+            self._log_done(pending)
             del self.pending[group_id]
             self.delivered[group_id] = frozenset(
                 o.handle for o in pending.outcomes.values() if o.handle
@@ -273,10 +273,10 @@
                 self.delivered.popitem(last=False)
             pending.done.callback(pending.outcomes)
 
-    def _log_made(self, pending: _PendingGroup) -> None:
+    def _log_done(self, pending: _PendingGroup) -> None:
         group = pending.group
         now = self.reactor.seconds()
-        word = self.waits.by_service.get(pending.service)
+        wait = self.waits.by_service.get(pending.service)
         self.logger.info(
             'stage-done',
             request=group.work[0].request_id,
@@ -285,24 +285,24 @@
             pieces=len(pending.outcomes),
             made=sum(o.handle is not None for o in pending.outcomes.values()),
             owner=pending.owner or self.name,
-            took_s=round(now - pending.asked_at, 3),
+            took_s=round(now - pending.submitted_at, 3),
             slack_s=round(group.target_at - now, 3),
-            queue_s=[round(s, 3) for s in word.waits_s] if word else None,
-            queue_late_s=round(word.late_wait_s, 3) if word else None,
-            queue_age_s=round(now - word.measured_at, 3) if word else None,
+            queue_s=[round(s, 3) for s in wait.waits_s] if wait else None,
+            queue_late_s=round(wait.late_wait_s, 3) if wait else None,
+            queue_age_s=round(now - wait.at, 3) if wait else None,
         )
 
-    def _release_unwanted(self, outcomes: list[model.PieceOutcome]) -> None:
+    def _release_unneeded(self, outcomes: list[model.PieceOutcome]) -> None:
         handles = [o.handle for o in outcomes if o.handle]
         if handles:
             self.local_owner.queue_release(handles)
 
-    def _abandon(self, group_id: str) -> None:
+    def _cancel(self, group_id: str) -> None:
         pending = self.pending.pop(group_id, None)
         if pending is None:
             return
         self._stop_timer(pending)
-        self._release_unwanted(list(pending.outcomes.values()))
+        self._release_unneeded(list(pending.outcomes.values()))
         if pending.owner is None:
             self.local_owner.on_drop(
                 model.StageDrop(group_id, pending.service)
@@ -317,19 +317,19 @@
         pending.timer = None
 
     def release(self, service: str, handles: list[str]) -> None:
-        """Give results up, through the host that counts their room.
+        """Free results through the owner that counts their room.
 
-        A host that went silent would never free them.
+        This host frees those of a silent owner, which never would.
         """
-        by_maker: dict[str | None, list[str]] = {}
+        by_owner: dict[str | None, list[str]] = {}
         for handle in handles:
-            maker = self.handle_owners.pop(handle, None)
-            if maker is not None and self._is_avoided(maker):
-                maker = None
-            by_maker.setdefault(maker, []).append(handle)
-        for maker, made in by_maker.items():
-            message = model.StageRelease(service, made)
-            if maker is None:
+            owner = self.handle_owners.pop(handle, None)
+            if owner is not None and self._is_avoided(owner):
+                owner = None
+            by_owner.setdefault(owner, []).append(handle)
+        for owner, owned in by_owner.items():
+            message = model.StageRelease(service, owned)
+            if owner is None:
                 self.local_owner.on_release(message)
             else:
-                self.send_peer(model.SendPeerMessage(maker, message))
+                self.send_peer(model.SendPeerMessage(owner, message))
