--- a/libs/ragwort_edge/ragwort_edge/_request_handler.py
+++ b/libs/ragwort_edge/ragwort_edge/_request_handler.py
@@ -1,4 +1,4 @@
-"""One request on its way: stages, sends to runners, the answer."""
+"""Handling of one request: stages, sends to runners and the response."""
 
 from collections.abc import Callable
 import dataclasses
@@ -16,12 +16,12 @@
 import ragwort_model as model
 import ragwort_relay as relay
 
-# Time kept for the answer's own way before a deadline or timeout.
-ANSWER_MARGIN_S = 0.02
-# Patience with a runner of a repeatable call, if another may be tried:
-# a share of the time left, and at least so much.
-PATIENCE_SHARE = 0.45
-MIN_PATIENCE_S = 0.7
+# Time reserved before a deadline or timeout for sending the response.
+RESPONSE_MARGIN_S = 0.02
+# Timeout of a repeatable call if another runner may be tried: a share of the
+# time left, with a minimum.
+SEND_TIMEOUT_SHARE = 0.45
+MIN_SEND_TIMEOUT_S = 0.7
 HTTP_BAD_REQUEST = 400
 HTTP_UNAVAILABLE = 503
 HTTP_BAD_GATEWAY = 502
@@ -29,8 +29,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Send:
-    """How one send to a runner ended."""
+class _SendOutcome:
+    """Outcome of one send to a runner."""
 
     result: relay.SendResult
     response: _messages.HttpResponse | None = None
@@ -39,7 +39,7 @@
 
 
 class RequestHandler:
-    """A request from admission to its end."""
+    """Handles one request from admission to the end of its response."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         configuration: relay.RelayConfiguration,
         on_end: Callable[['RequestHandler'], None],
     ) -> None:
-        """Bind a request to its route; nothing is done yet."""
+        """Prepare to handle a request; start() begins."""
         self.context = context
         self.exchange = exchange
         self.metadata = metadata
@@ -63,12 +63,12 @@
         limit_s = route.timeout_s
         if metadata.deadline_s is not None:
             limit_s = min(limit_s, metadata.deadline_s)
-        self.ends_at = self.started_at + limit_s - ANSWER_MARGIN_S
+        self.deadline_at = self.started_at + limit_s - RESPONSE_MARGIN_S
         self.attempts = relay.Attempts(route)
         self.running: Any = None
         self.timer: Any = None
         self.is_timed_out = False
-        self.notes: dict[str, Any] = {}
+        self.log_fields: dict[str, Any] = {}
         self.stages = _request_stages.RequestStages(
             context,
             metadata,
@@ -77,7 +77,7 @@
             _request_stages.RequestTimes(
                 self.started_at,
                 self.started_at + route.target_s,
-                self.ends_at,
+                self.deadline_at,
                 self.rank,
             ),
             self._likely_domain,
@@ -85,17 +85,17 @@
 
     @property
     def rank(self) -> int:
-        """Return the rank of the call; 0 goes first."""
+        """Return the rank of the request; 0 goes first."""
         if self.workspace is not None and self.workspace.priority is not None:
             return self.workspace.priority
         return self.route.priority
 
     def left_s(self) -> float:
-        """Return the time until the answer is due, in seconds."""
-        return float(self.ends_at - self.context.reactor.seconds())
+        """Return the time until the response is due, in seconds."""
+        return float(self.deadline_at - self.context.reactor.seconds())
 
     def start(self) -> None:
-        """Begin to serve the request."""
+        """Start handling the request."""
         reactor = self.context.reactor
         self.exchange.on_disconnect = self._on_disconnect
         self.timer = reactor.callLater(
@@ -106,7 +106,7 @@
         self.running.addBoth(self._finish)
 
     def _on_disconnect(self) -> None:
-        self.notes['gone'] = True
+        self.log_fields['gone'] = True
         self.running.cancel()
 
     def _on_timeout(self) -> None:
@@ -123,16 +123,16 @@
         if failure.check(_context.RefusedError):
             self._refuse(str(failure.value), failure.value.retry_after_s)
         elif failure.check(defer.CancelledError, _client.CallError):
-            self._on_stopped()
+            self._on_cancelled()
         elif failure.check(model.InvalidInputError):
             self._fail(HTTP_BAD_REQUEST, str(failure.value))
         else:
             detail = failure.getTraceback()[-1500:]
-            self.context.logger.error('defect', detail=detail)
+            self.context.logger.error('unhandled-error', detail=detail)
             self._fail(HTTP_BAD_GATEWAY, 'internal error')
 
-    def _on_stopped(self) -> None:
-        if self.notes.get('gone'):
+    def _on_cancelled(self) -> None:
+        if self.log_fields.get('gone'):
             self._log('caller-gone')
         elif self.attempts.ran:
             self._fail(HTTP_GATEWAY_TIMEOUT, 'no answer in time')
@@ -145,13 +145,13 @@
             self._fail(HTTP_BAD_GATEWAY, reason)
             return
         self._log('refused', reason=reason, retry_after_s=retry_after_s)
-        self._answer(HTTP_UNAVAILABLE, retry_after_s, reason)
+        self._respond_error(HTTP_UNAVAILABLE, retry_after_s, reason)
 
     def _fail(self, status: int, reason: str) -> None:
         self._log('failed', status=status, reason=reason)
-        self._answer(status, None, reason)
+        self._respond_error(status, None, reason)
 
-    def _answer(
+    def _respond_error(
         self, status: int, retry_after_s: float | None, reason: str
     ) -> None:
         if self.exchange.is_started:
@@ -175,17 +175,17 @@
             took_s=round(context.reactor.seconds() - self.started_at, 3),
             ran=self.attempts.ran,
             turned_away=self.attempts.not_run,
-            **self.notes,
+            **self.log_fields,
             **fields,
         )
 
-    # The way of a request.
+    # Stages.
 
     async def _run(self) -> None:
         if self.route.stages:
             await self._run_stages()
         service = self.route.service_for(self.metadata.request_id)
-        self.notes['service'] = service
+        self.log_fields['service'] = service
         self.context.budget.on_request(service, self.context.reactor.seconds())
         if self.route.kind == relay.CallKind.STREAM:
             await self._run_stream(service)
@@ -194,39 +194,39 @@
 
     async def _run_stages(self) -> None:
         admission = self.stages.admit()
-        self.notes['forecast_s'] = round(admission.forecast.total_s, 3)
-        self.notes['queue_s'] = round(admission.forecast.queue_s, 3)
-        self.notes['admission'] = str(admission.verdict)
+        self.log_fields['forecast_s'] = round(admission.forecast.total_s, 3)
+        self.log_fields['queue_s'] = round(admission.forecast.queue_s, 3)
+        self.log_fields['admission'] = str(admission.verdict)
         if admission.verdict == relay.Verdict.TOO_LATE:
             raise _context.RefusedError(
                 'queues are too long', admission.retry_after_s
             )
-        await self.stages.make()
+        await self.stages.execute()
         elapsed_s = self.context.reactor.seconds() - self.started_at
-        self.notes['stages_s'] = round(elapsed_s, 3)
+        self.log_fields['stages_s'] = round(elapsed_s, 3)
 
     def _likely_domain(self) -> str:
         """Return the failure domain where the main call will likely run."""
         service = self.route.service_for(self.metadata.request_id)
-        runner = self._choose(service, set())
+        runner = self._choose_runner(service, set())
         if runner is None:
             return self.context.failure_domain
         return runner.entry.runner.failure_domain
 
-    # The main call.
+    # Main call.
 
-    def _choose(
+    def _choose_runner(
         self, service: str, tried: set[str]
     ) -> relay.FleetRunner | None:
         context = self.context
         now = context.reactor.seconds()
         usable = context.catalog.fleet.usable(service, now)
-        fresh = [r for r in usable if r.name not in tried] or usable
-        if not fresh:
+        untried = [r for r in usable if r.name not in tried] or usable
+        if not untried:
             return None
         if self.metadata.prompt:
             runner, estimates = relay.choose_by_prompt_cache(
-                fresh,
+                untried,
                 self.metadata.prompt,
                 context.catalog.prompt_cache,
                 self.stages.input_bytes(),
@@ -234,20 +234,20 @@
             )
         else:
             runner, estimates = relay.choose_by_load(
-                fresh, context.failure_domain, now
+                untried, context.failure_domain, now
             )
-        self.notes['runner'] = runner.name
+        self.log_fields['runner'] = runner.name
         if runner.state.report is not None:
             age_s = now - runner.state.reported_at
-            self.notes['report_age_s'] = round(age_s, 3)
-        self.notes['estimates'] = {
+            self.log_fields['report_age_s'] = round(age_s, 3)
+        self.log_fields['estimates'] = {
             name: round(value, 3) for name, value in estimates.items()
         }
         return runner
 
     def _take_runner(self, service: str, tried: set[str]) -> relay.FleetRunner:
         """Return a runner and mark it tried; raise RefusedError if none."""
-        runner = self._choose(service, tried)
+        runner = self._choose_runner(service, tried)
         if runner is None:
             raise self.context.refusal('no runner')
         tried.add(runner.name)
@@ -270,10 +270,10 @@
             )
         )
 
-    def _note_send(
-        self, service: str, runner: relay.FleetRunner, send: _Send
+    def _record_send(
+        self, service: str, runner: relay.FleetRunner, send: _SendOutcome
     ) -> None:
-        """Count a send and what it tells of its runner."""
+        """Record a send in the metrics, attempts and runner state."""
         now = self.context.reactor.seconds()
         self.context.metrics.sends.labels(service, send.result).inc()
         self.attempts.on_result(send.result)
@@ -301,7 +301,7 @@
         while True:
             runner = self._take_runner(service, tried)
             send = await self._send_plain(service, runner)
-            self._note_send(service, runner, send)
+            self._record_send(service, runner, send)
             step = self._next_step(service, send)
             if step == relay.NextStep.SEND_AGAIN:
                 continue
@@ -313,27 +313,29 @@
                 self._fail(HTTP_BAD_GATEWAY, send.detail)
             return
 
-    def _next_step(self, service: str, send: _Send) -> relay.NextStep:
-        may = self.attempts.may_send_again(send.result, self.left_s())
+    def _next_step(self, service: str, send: _SendOutcome) -> relay.NextStep:
+        may_resend = self.attempts.may_send_again(send.result, self.left_s())
         if send.result == relay.SendResult.DONE:
-            may = False
-        if may and send.result != relay.SendResult.NOT_SENT:
+            may_resend = False
+        if may_resend and send.result != relay.SendResult.NOT_SENT:
             now = self.context.reactor.seconds()
-            may = self.context.budget.take(service, now)
-        return relay.next_step(send.result, may, bool(self.attempts.ran))
+            may_resend = self.context.budget.take(service, now)
+        return relay.next_step(
+            send.result, may_resend, bool(self.attempts.ran)
+        )
 
     async def _send_plain(
         self, service: str, runner: relay.FleetRunner
-    ) -> _Send:
+    ) -> _SendOutcome:
         context = self.context
         sent_at = context.reactor.seconds()
         patience_s = self.left_s()
         if self.route.may_repeat and (
             self.attempts.ran + 1 < self.route.attempts
         ):
-            patience_s = min(
-                patience_s,
-                max(MIN_PATIENCE_S, patience_s * PATIENCE_SHARE),
+            timeout_s = min(
+                timeout_s,
+                max(MIN_SEND_TIMEOUT_S, timeout_s * SEND_TIMEOUT_SHARE),
             )
         runner.state.on_dispatch()
         try:
@@ -345,12 +347,14 @@
             )
         except _client.CallError as error:
             if error.kind == _client.CallErrorKind.NOT_CONNECTED:
-                return _Send(relay.SendResult.NOT_SENT, detail=str(error))
-            if self.is_timed_out or self.notes.get('gone'):
+                return _SendOutcome(
+                    relay.SendResult.NOT_SENT, detail=str(error)
+                )
+            if self.is_timed_out or self.log_fields.get('gone'):
                 self.attempts.ran += 1
                 runner.state.on_cancel()
                 raise
-            return _Send(relay.SendResult.LOST, detail=str(error))
+            return _SendOutcome(relay.SendResult.LOST, detail=str(error))
         took_s = context.reactor.seconds() - sent_at
         return self.classify_response(runner, response, took_s)
 
@@ -359,8 +363,8 @@
         runner: relay.FleetRunner,
         response: _messages.HttpResponse,
         took_s: float,
-    ) -> _Send:
-        """Return what a whole response means for the call."""
+    ) -> _SendOutcome:
+        """Return the outcome of a send from a complete response."""
         now = self.context.reactor.seconds()
         reply = self.context.dialect.read_reply(
             response, self.metadata.request_id
@@ -369,21 +373,21 @@
             runner.state.on_report(reply.load, now)
         if reply.is_not_run:
             runner.is_misdirected |= reply.is_misdirected
-            return _Send(
+            return _SendOutcome(
                 relay.SendResult.NOT_RUN,
                 detail=f'status {response.status}',
                 is_input_gone=reply.is_input_gone,
             )
         if not reply.is_authentic:
-            return _Send(relay.SendResult.LOST, detail='not the answer')
+            return _SendOutcome(relay.SendResult.LOST, detail='not the answer')
         if response.status >= 500:
-            return _Send(
+            return _SendOutcome(
                 relay.SendResult.FAILED,
                 response,
                 detail=f'status {response.status}',
             )
         runner.state.on_result(took_s, took_s, now)
-        return _Send(relay.SendResult.DONE, response)
+        return _SendOutcome(relay.SendResult.DONE, response)
 
     def _deliver(self, response: _messages.HttpResponse) -> None:
         self._observe_latency()
@@ -399,16 +403,18 @@
     def _observe_latency(self) -> None:
         took_s = self.context.reactor.seconds() - self.started_at
         self.context.metrics.latency.labels(self.route.name).observe(took_s)
-        self.notes['first_s'] = round(took_s, 3)
+        self.log_fields['first_s'] = round(took_s, 3)
 
     def on_first_event(self) -> None:
-        """Note that the answer begins."""
+        """Record the latency and free the stage results."""
         self._observe_latency()
         self.stages.release_all()
 
-    def send_outcome(self, result: relay.SendResult, detail: str) -> '_Send':
-        """Return the end of a send that brought no whole response."""
-        return _Send(result, detail=detail)
+    def send_outcome(
+        self, result: relay.SendResult, detail: str
+    ) -> _SendOutcome:
+        """Return the outcome of a send without a complete response."""
+        return _SendOutcome(result, detail=detail)
 
     async def _run_stream(self, service: str) -> None:
         progress = relay.StreamProgress(self.metadata.last_event)
@@ -416,12 +422,12 @@
         while True:
             runner = self._take_runner(service, tried)
             send = await self._send_stream(runner, progress)
-            self._note_send(service, runner, send)
+            self._record_send(service, runner, send)
             step = self._next_step(service, send)
             if step == relay.NextStep.SEND_AGAIN:
                 if self.stages.run is None or send.is_input_gone:
-                    self.notes['remade'] = True
-                    await self.stages.make()
+                    self.log_fields['remade'] = True
+                    await self.stages.execute()
                 continue
             if step == relay.NextStep.DELIVER:
                 if send.result == relay.SendResult.DONE:
@@ -441,7 +447,7 @@
 
     async def _send_stream(
         self, runner: relay.FleetRunner, progress: relay.StreamProgress
-    ) -> _Send:
+    ) -> _SendOutcome:
         context = self.context
         last_event = progress.last_event_id
         reader = _stream.StreamReader(self, runner, progress)
@@ -449,7 +455,7 @@
         context.catalog.prompt_cache.record(runner.name, self.metadata.prompt)
         reader.open(self._main_request(runner, last_event))
         try:
-            ended: _Send = await reader.done
+            ended: _SendOutcome = await reader.done
             return ended
         except defer.CancelledError:
             reader.stop()
--- a/libs/ragwort_edge/ragwort_edge/_request_stages.py
+++ b/libs/ragwort_edge/ragwort_edge/_request_stages.py
@@ -1,4 +1,4 @@
-"""The stages of one request: asking for their pieces, freeing results."""
+"""Execution of the stages of one request."""
 
 import collections
 from collections.abc import Callable
@@ -13,37 +13,37 @@
 import ragwort_model as model
 import ragwort_relay as relay
 
-# Bytes between failure domains that are worth waiting to avoid.
-MIN_NEAR_BYTES = 500_000
-# Time to spare that is kept when large results are made as late as can be,
-# and the shortest and longest time until the next look.
-HOLD_MARGIN_S = 0.05
-MIN_HOLD_S = 0.01
-MAX_HOLD_S = 0.1
-# How often all stages are made when results vanish with their runners.
-MAX_ROUNDS = 2
+# Smallest transfer between failure domains that is worth a wait to avoid.
+MIN_LOCALITY_BYTES = 500_000
+# Large results are produced as late as possible: the slack that is kept, and
+# the shortest and longest delay until the next check.
+START_DELAY_MARGIN_S = 0.05
+MIN_START_DELAY_S = 0.01
+MAX_START_DELAY_S = 0.1
+# Attempts at all stages when results are lost with their runners.
+MAX_ATTEMPTS = 2
 INPUT_GONE = str(_dialect.PieceResult.INPUT_GONE)
 
 
 class ResultsGoneError(model.RagwortError):
-    """Raise when results vanished before the next stage read them."""
+    """Raise when results were lost before the next stage read them."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestTimes:
-    """When a request came, what it aims at, and when its time ends.
+    """Arrival, target, deadline and rank of a request.
 
-    In seconds of the host's clock; rank 0 goes first.
+    Times are in seconds of the host's clock; rank 0 goes first.
     """
 
     started_at: float
     target_at: float
-    ends_at: float
+    deadline_at: float
     rank: int
 
 
 class RequestStages:
-    """Makes the stages of one request."""
+    """Runs the stages of one request."""
 
     def __init__(
         self,
@@ -54,9 +54,10 @@
         times: RequestTimes,
         likely_domain: Callable[[], str],
     ) -> None:
-        """Start with nothing made.
+        """Start with no stage run.
 
-        likely_domain returns where the main call will likely run.
+        likely_domain returns the failure domain where the main call will
+        likely run.
         """
         self.context = context
         self.metadata = metadata
@@ -70,7 +71,7 @@
         self.inputs: tuple[str, ...] = ()
 
     def new_run(self) -> relay.StageRun:
-        """Return a run with nothing made; raise InvalidInputError."""
+        """Return a run with no results; raise InvalidInputError."""
         try:
             return relay.StageRun(
                 self.metadata.request_id,
@@ -82,7 +83,7 @@
             raise model.InvalidInputError(str(error)) from None
 
     def admit(self) -> relay.Admission:
-        """Decide whether the request can be done in its time."""
+        """Decide whether the request can finish by its deadline."""
         now = self.context.reactor.seconds()
         self.context.stages.refresh_waits(
             {spec.service for spec in self.route.stages}
@@ -92,7 +93,7 @@
             self._forecast(run, self._timely_waits_s(run)),
             self._forecast(run, self._late_waits_s()),
             self.times.target_at - now,
-            self.times.ends_at - now,
+            self.times.deadline_at - now,
             self.context.rng,
         )
         self.is_late = admission.verdict == relay.Verdict.ADMIT_LATE
@@ -113,10 +114,10 @@
         return relay.typical_stage_s(run, self.configuration.services)
 
     def _timely_waits_s(self, run: relay.StageRun) -> list[float]:
-        """Return the queueing time before each stage if it can be timely.
+        """Return the queueing time before each stage of a timely request.
 
-        The less time a request has to spare, the sooner it is due and the
-        less of each queue goes before it.
+        The less slack a request has, the sooner it is due and the less of
+        each queue goes before it.
         """
         now = self.context.reactor.seconds()
         usual_s = self._usual_s(run)
@@ -131,25 +132,25 @@
         ]
 
     def _late_waits_s(self) -> list[float]:
-        """Return the queueing time before each stage if it can't."""
+        """Return the queueing time before each stage of a late request."""
         now = self.context.reactor.seconds()
         waits = self.context.stages.waits
         return [
             waits.late_wait_s(spec.service, now) for spec in self.route.stages
         ]
 
-    async def make(self) -> None:
-        """Make all stages; raise RefusedError if that fails."""
-        for _ in range(MAX_ROUNDS):
+    async def execute(self) -> None:
+        """Run all stages; raise RefusedError if that fails."""
+        for _ in range(MAX_ATTEMPTS):
             self.release_all()
             try:
-                await self._make_round(self.new_run())
+                await self._execute_once(self.new_run())
             except ResultsGoneError:
                 continue
             return
         raise self.context.refusal('results vanished with their runners')
 
-    async def _make_round(self, run: relay.StageRun) -> None:
+    async def _execute_once(self, run: relay.StageRun) -> None:
         self.run = run
         if not run.is_done:
             done: defer.Deferred[None] = defer.Deferred()
@@ -163,38 +164,41 @@
         if run is not self.run or done.called:
             return
         for stage in run.ready():
-            hold_s = self._hold_s(run, stage)
-            if hold_s > 0:
+            delay_s = self._start_delay_s(run, stage)
+            if delay_s > 0:
                 self.context.reactor.callLater(
-                    min(hold_s, MAX_HOLD_S), self._start_ready, run, done
+                    min(delay_s, MAX_START_DELAY_S),
+                    self._start_ready,
+                    run,
+                    done,
                 )
                 continue
             run.start(stage, self.context.reactor.seconds())
-            group = self._group(run, stage)
-            made = self.context.stages.submit(
+            group = self._piece_group(run, stage)
+            submitted = self.context.stages.submit(
                 self.route.stages[stage].service, group
             )
-            self.pending[stage] = made
-            made.addCallback(self._on_stage, run, stage, done)
-            made.addErrback(self._on_stage_error, done)
+            self.pending[stage] = submitted
+            submitted.addCallback(self._on_stage_outcomes, run, stage, done)
+            submitted.addErrback(self._on_stage_error, done)
 
-    def _hold_s(self, run: relay.StageRun, stage: int) -> float:
-        """Return how long large results had better not be made yet.
+    def _start_delay_s(self, run: relay.StageRun, stage: int) -> float:
+        """Return how long to delay a stage with large results.
 
         They take room at their runner until the main call reads them,
-        which it can only do when all stages are made.
+        which it can only do once all stages are complete.
         """
         spec = self.route.stages[stage]
-        if spec.result_bytes * run.pieces[stage] < MIN_NEAR_BYTES:
+        if spec.result_bytes * run.pieces[stage] < MIN_LOCALITY_BYTES:
             return 0.0
         now = self.context.reactor.seconds()
         is_late = self.is_late or now > self.times.target_at
         waits_s = (
             self._late_waits_s() if is_late else self._timely_waits_s(run)
         )
-        expected_s = _sums(self._usual_s(run), waits_s)
-        spare_s = run.slack_s(stage, expected_s, now) - HOLD_MARGIN_S
-        return spare_s if spare_s >= MIN_HOLD_S else 0.0
+        expected_s = _add_pairwise(self._usual_s(run), waits_s)
+        spare_s = run.slack_s(stage, expected_s, now) - START_DELAY_MARGIN_S
+        return spare_s if spare_s >= MIN_START_DELAY_S else 0.0
 
     def _on_stage_error(
         self, failure: Any, done: 'defer.Deferred[None]'
@@ -202,9 +206,11 @@
         if not failure.check(defer.CancelledError) and not done.called:
             done.errback(failure)
 
-    def _group(self, run: relay.StageRun, stage: int) -> relay.PieceGroup:
+    def _piece_group(
+        self, run: relay.StageRun, stage: int
+    ) -> relay.PieceGroup:
         usual_s = self._usual_s(run)
-        with_waits_s = _sums(usual_s, self._timely_waits_s(run))
+        with_waits_s = _add_pairwise(usual_s, self._timely_waits_s(run))
         first_s = self._first_event_s
         target_s = relay.time_after_stage_s(run, stage, with_waits_s) + first_s
         deadline_s = relay.time_after_stage_s(run, stage, usual_s) + first_s
@@ -212,33 +218,33 @@
             '',
             run.work(stage),
             self.times.target_at - target_s,
-            self.times.ends_at - deadline_s,
+            self.times.deadline_at - deadline_s,
             self.times.rank,
             self.route.stages[stage].result_bytes,
-            self._wanted_domain(run, stage),
+            self._preferred_domain(run, stage),
         )
 
-    def _wanted_domain(self, run: relay.StageRun, stage: int) -> str:
-        """Return where a stage's inputs lie or its results will be read.
+    def _preferred_domain(self, run: relay.StageRun, stage: int) -> str:
+        """Return the failure domain of a stage's inputs or readers.
 
-        Return nothing where too little would cross to be worth a wait.
+        Return '' if too few bytes would cross domains to be worth a wait.
         """
         spec = self.route.stages[stage]
-        read: collections.Counter[str] = collections.Counter()
+        sizes: collections.Counter[str] = collections.Counter()
         for needed in spec.after:
             size = self.route.stages[needed].result_bytes
             for handle in run.results(needed):
                 domain = self.context.failure_domain_of(handle)
-                read[domain] += int(size * run.pieces[stage])
+                sizes[domain] += int(size * run.pieces[stage])
         if stage not in run.stages_with_dependents:
             amount = int(spec.result_bytes * run.pieces[stage])
-            read[self.likely_domain()] += amount
-        most = read.most_common(1)
-        if not most or most[0][1] < MIN_NEAR_BYTES:
+            sizes[self.likely_domain()] += amount
+        largest = sizes.most_common(1)
+        if not largest or largest[0][1] < MIN_LOCALITY_BYTES:
             return ''
-        return most[0][0]
+        return largest[0][0]
 
-    def _on_stage(
+    def _on_stage_outcomes(
         self,
         outcomes: _stage_service.Outcomes,
         run: relay.StageRun,
@@ -271,7 +277,7 @@
         return self.context.refusal(f'stage {stage}: {reasons[0]}')
 
     def input_bytes(self) -> dict[str, float]:
-        """Return the bytes the main call reads, by failure domain."""
+        """Return the bytes that the main call reads, by failure domain."""
         amounts: dict[str, float] = {}
         run = self.run
         if run is None:
@@ -290,7 +296,7 @@
         self.context.stages.release(service, handles)
 
     def release_all(self) -> None:
-        """Free the results that nothing will read any more."""
+        """Cancel pending groups and free all results still held."""
         for pending in list(self.pending.values()):
             pending.cancel()
         self.pending.clear()
@@ -302,5 +308,5 @@
                 self._release(stage, run.results(stage))
 
 
-def _sums(first: list[float], second: list[float]) -> list[float]:
+def _add_pairwise(first: list[float], second: list[float]) -> list[float]:
     return [a + b for a, b in zip(first, second, strict=True)]
