--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -214,7 +214,7 @@
         self.logger.info('reload', seeds=list(options.seeds))
 
     def leave(self) -> None:
-        """Stop accepting requests, finish the open ones, then stop."""
+        """Announce the leave, finish the open requests, then stop."""
         if self.leaving_at is not None:
             return
         now = self.reactor.seconds()
@@ -249,7 +249,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the host accepts requests."""
+        """Tell whether the host is ready for new requests."""
         return self.leaving_at is None and self.has_synced_state
 
     @property
--- a/libs/ragwort_edge/ragwort_edge/_request_handler.py
+++ b/libs/ragwort_edge/ragwort_edge/_request_handler.py
@@ -412,7 +412,7 @@
 
     def send_outcome(
         self, result: relay.SendResult, detail: str
-    ) -> _SendOutcome:
+    ) -> '_SendOutcome':
         """Return the outcome of a send without a complete response."""
         return _SendOutcome(result, detail=detail)
 
--- a/libs/ragwort_edge/ragwort_edge/_stage_service.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_service.py
@@ -23,7 +23,7 @@
 ACK_TIMEOUT_S = 0.12
 # Time to avoid an owner that did not acknowledge.
 AVOID_OWNER_S = 1.0
-# Interval of repeated asks that check that an owner is alive.
+# Interval of repeated StageAsks that check whether an owner is alive.
 OWNER_CHECK_INTERVAL_S = 0.4
 # Delivered groups whose handles are kept to recognise a repeated reply.
 MAX_DELIVERED = 256
@@ -289,7 +289,7 @@
             slack_s=round(group.target_at - now, 3),
             queue_s=[round(s, 3) for s in wait.waits_s] if wait else None,
             queue_late_s=round(wait.late_wait_s, 3) if wait else None,
-            queue_age_s=round(now - wait.at, 3) if wait else None,
+            queue_age_s=round(now - wait.measured_at, 3) if wait else None,
         )
 
     def _release_unneeded(self, outcomes: list[model.PieceOutcome]) -> None:
@@ -319,7 +319,7 @@
     def release(self, service: str, handles: list[str]) -> None:
         """Free results through the owner that counts their room.
 
-        This host frees those of a silent owner, which never would.
+        Those of a silent owner, which would never free them, are freed here.
         """
         by_owner: dict[str | None, list[str]] = {}
         for handle in handles:
