--- a/libs/ragwort_edge/ragwort_edge/_request_handler.py
+++ b/libs/ragwort_edge/ragwort_edge/_request_handler.py
@@ -179,7 +179,7 @@
             **fields,
         )
 
-    # Stages.
+    # Steps of a request.
 
     async def _run(self) -> None:
         if self.route.stages:
@@ -221,12 +221,12 @@
         context = self.context
         now = context.reactor.seconds()
         usable = context.catalog.fleet.usable(service, now)
-        untried = [r for r in usable if r.name not in tried] or usable
-        if not untried:
+        candidates = [r for r in usable if r.name not in tried] or usable
+        if not candidates:
             return None
         if self.metadata.prompt:
             runner, estimates = relay.choose_by_prompt_cache(
-                untried,
+                candidates,
                 self.metadata.prompt,
                 context.catalog.prompt_cache,
                 self.stages.input_bytes(),
@@ -234,7 +234,7 @@
             )
         else:
             runner, estimates = relay.choose_by_load(
-                untried, context.failure_domain, now
+                candidates, context.failure_domain, now
             )
         self.log_fields['runner'] = runner.name
         if runner.state.report is not None:
@@ -329,7 +329,7 @@
     ) -> _SendOutcome:
         context = self.context
         sent_at = context.reactor.seconds()
-        patience_s = self.left_s()
+        timeout_s = self.left_s()
         if self.route.may_repeat and (
             self.attempts.ran + 1 < self.route.attempts
         ):
@@ -343,7 +343,7 @@
                 context.client,
                 runner.address,
                 self._main_request(runner, None),
-                patience_s,
+                timeout_s,
             )
         except _client.CallError as error:
             if error.kind == _client.CallErrorKind.NOT_CONNECTED:
--- a/libs/ragwort_edge/ragwort_edge/_request_stages.py
+++ b/libs/ragwort_edge/ragwort_edge/_request_stages.py
@@ -231,9 +231,9 @@
         """
         spec = self.route.stages[stage]
         sizes: collections.Counter[str] = collections.Counter()
-        for needed in spec.after:
-            size = self.route.stages[needed].result_bytes
-            for handle in run.results(needed):
+        for input_stage in spec.after:
+            size = self.route.stages[input_stage].result_bytes
+            for handle in run.results(input_stage):
                 domain = self.context.failure_domain_of(handle)
                 sizes[domain] += int(size * run.pieces[stage])
         if stage not in run.stages_with_dependents:
@@ -252,18 +252,20 @@
         done: 'defer.Deferred[None]',
     ) -> None:
         self.pending.pop(stage, None)
-        failed = [o.reason for o in outcomes.values() if o.handle is None]
+        failure_reasons = [
+            o.reason for o in outcomes.values() if o.handle is None
+        ]
         for outcome in outcomes.values():
             if outcome.handle is not None:
                 run.add_result(stage, outcome.piece, outcome.handle)
         if done.called:
             return
-        if failed:
-            done.errback(self._stage_error(stage, failed))
+        if failure_reasons:
+            done.errback(self._stage_error(stage, failure_reasons))
             return
-        for needed in self.route.stages[stage].after:
-            if run.is_consumed(needed):
-                self._release(needed, run.results(needed))
+        for input_stage in self.route.stages[stage].after:
+            if run.is_consumed(input_stage):
+                self._release(input_stage, run.results(input_stage))
         if run.is_done:
             done.callback(None)
         else:
