--- a/libs/ragwort_lab/ragwort_lab/_mutations.py
+++ b/libs/ragwort_lab/ragwort_lab/_mutations.py
@@ -150,8 +150,8 @@
     """Send to runners whatever they say of themselves."""
     with mock.patch.object(
         _dispatcher.Dispatcher,
-        'in_service',
-        _dispatcher.Dispatcher.subset,
+        'runners_in_service',
+        _dispatcher.Dispatcher.runner_subset,
     ):
         yield
 
--- a/libs/ragwort_lab/ragwort_lab/_policy_bench.py
+++ b/libs/ragwort_lab/ragwort_lab/_policy_bench.py
@@ -184,7 +184,7 @@
 
 
 def _no_affinity() -> Any:
-    return mock.patch.object(_dispatcher, 'PREFIX_CHARS', 0)
+    return mock.patch.object(_dispatcher, 'AFFINITY_PREFIX_CHARS', 0)
 
 
 def _fixed_limits() -> Any:
--- a/libs/ragwort_lab/ragwort_lab/_state_bench.py
+++ b/libs/ragwort_lab/ragwort_lab/_state_bench.py
@@ -123,7 +123,7 @@
     core.control.replica.merge(_scale_bench.stored_objects(objects), 0.0)
     dispatcher = core.dispatcher
     began_at = time.perf_counter()
-    states = dispatcher.subset('model-00', 0.0)
+    states = dispatcher.runner_subset('model-00', 0.0)
     refresh_s = time.perf_counter() - began_at
     rng = random.Random(1)
     for known in states:
@@ -136,7 +136,7 @@
     def timed(strategy: policy.Strategy) -> float:
         start = time.perf_counter()
         for _ in range(DECISIONS):
-            strategy(dispatcher.in_service('model-00', 0.0), context)
+            strategy(dispatcher.runners_in_service('model-00', 0.0), context)
         return (time.perf_counter() - start) / DECISIONS
 
     return DecisionFigures(runners, timed(ours), timed(plain), refresh_s)
--- a/libs/ragwort_node/ragwort_node/_accounting.py
+++ b/libs/ragwort_node/ragwort_node/_accounting.py
@@ -49,7 +49,7 @@
     ) -> None:
         """Judge a runner by a probe of it."""
         state = attempt.state
-        peers = self.dispatcher.in_service(state.runner.service, now)
+        peers = self.dispatcher.runners_in_service(state.runner.service, now)
         back = policy.on_probe_result(state, ok, busy_s, peers, now)
         decision = _effects.Decision(
             now,
--- a/libs/ragwort_node/ragwort_node/_admission.py
+++ b/libs/ragwort_node/ragwort_node/_admission.py
@@ -128,7 +128,7 @@
         detail = f'{queued} requests of this workspace wait already'
         return Refusal(overloaded, detail, BUSY_RETRY_S)
     for service in execution.services:
-        if not dispatcher.in_service(service.name, now):
+        if not dispatcher.runners_in_service(service.name, now):
             detail = f'no runner of service {service.name!r} is in service'
             return Refusal(overloaded, detail, BUSY_RETRY_S)
     estimate = dispatcher.estimate(execution, now)
--- a/libs/ragwort_node/ragwort_node/_dispatcher.py
+++ b/libs/ragwort_node/ragwort_node/_dispatcher.py
@@ -15,7 +15,7 @@
 import ragwort_policy as policy
 
 SUBSET_REFRESH_S = 1.0
-PREFIX_CHARS = 256
+AFFINITY_PREFIX_CHARS = 256
 
 
 @dataclasses.dataclass(slots=True)
@@ -71,7 +71,9 @@
         """Return the hedge budget of a service."""
         return self.hedges.setdefault(service, policy.hedge_budget())
 
-    def subset(self, service: str, now: float) -> list[policy.RunnerState]:
+    def runner_subset(
+        self, service: str, now: float
+    ) -> list[policy.RunnerState]:
         """Return the runners of a service that this node uses."""
         catalog = self.control.catalog
         generation = (catalog.generation, self.control.members.version)
@@ -101,12 +103,14 @@
             if name not in self.control.catalog.runners and not known.inflight:
                 del self.states[name]
 
-    def in_service(self, service: str, now: float) -> list[policy.RunnerState]:
+    def runners_in_service(
+        self, service: str, now: float
+    ) -> list[policy.RunnerState]:
         """Return the runners that have not said they are leaving."""
         catalog = self.control.catalog
         return [
             state
-            for state in self.subset(service, now)
+            for state in self.runner_subset(service, now)
             if state.runner.name not in catalog.draining_runners
             and state.runner.name in catalog.runners
             and catalog.runners[state.runner.name].state
@@ -116,7 +120,9 @@
 
     def typical_s(self, service: str, now: float) -> float:
         """Return the usual busy time of a service's runners."""
-        times = [s.busy_s for s in self.subset(service, now) if s.results]
+        times = [
+            s.busy_s for s in self.runner_subset(service, now) if s.results
+        ]
         if not times:
             return policy.DEFAULT_BUSY_S
         return sum(times) / len(times)
@@ -126,7 +132,7 @@
         queue = self.queue(service)
         if not queue.size:
             return 0.0
-        room = sum(int(s.limit) for s in self.in_service(service, now))
+        room = sum(int(s.limit) for s in self.runners_in_service(service, now))
         return queue.work_ahead_s(workspace) / max(room, 1)
 
     def total_wait_s(
@@ -196,7 +202,7 @@
         service = execution.service
         states = [
             state
-            for state in self.in_service(service.name, now)
+            for state in self.runners_in_service(service.name, now)
             if state.runner.name not in exclude
         ]
         probe = self._probe_target(execution, states, now)
@@ -274,7 +280,7 @@
         self.turns[service.name] = turn + 1
         affinity = None
         if service.kind == model.ServiceKind.GENERATOR:
-            affinity = execution.input[:PREFIX_CHARS]
+            affinity = execution.input[:AFFINITY_PREFIX_CHARS]
         return policy.RoutingContext(
             now,
             self.rng,
@@ -296,7 +302,7 @@
         self, state: policy.RunnerState, now: float
     ) -> _effects.Decision | None:
         """Eject a runner if it is worse than its peers."""
-        peers = self.in_service(state.runner.service, now)
+        peers = self.runners_in_service(state.runner.service, now)
         if state not in peers:
             return None
         ejection = policy.detect_outlier(state, peers, now)
--- a/libs/ragwort_node/ragwort_node/_engine.py
+++ b/libs/ragwort_node/ragwort_node/_engine.py
@@ -95,7 +95,7 @@
         return any(
             policy.may_probe(state, now)
             or (state.has_capacity(now) and not policy.is_ejected(state, now))
-            for state in self.dispatcher.in_service(service, now)
+            for state in self.dispatcher.runners_in_service(service, now)
         )
 
     def _dispatch(
