--- a/libs/ragwort_lab/ragwort_lab/_mutations.py
+++ b/libs/ragwort_lab/ragwort_lab/_mutations.py
@@ -71,8 +71,12 @@
 def accept_repeated_chunks() -> Iterator[None]:
     """Take every chunk, and believe any end record."""
     with (
-        mock.patch.object(_execution.Attempt, 'take_chunk', _accept_any_chunk),
-        mock.patch.object(_execution.Execution, 'is_whole', lambda *_: True),
+        mock.patch.object(
+            _execution.Attempt, 'accept_chunk', _accept_any_chunk
+        ),
+        mock.patch.object(
+            _execution.Execution, 'is_result_complete', lambda *_: True
+        ),
     ):
         yield
 
@@ -95,7 +99,7 @@
 
 @contextlib.contextmanager
 def _grant_everything() -> Iterator[None]:
-    original = _core.NodeCore._on_claim
+    original = _core.NodeCore._on_claim_resolved
 
     def on_claim(
         core: _core.NodeCore, resolved: state.ClaimResolved, now: float
@@ -105,7 +109,7 @@
         )
         original(core, granted, now)
 
-    with mock.patch.object(_core.NodeCore, '_on_claim', on_claim):
+    with mock.patch.object(_core.NodeCore, '_on_claim_resolved', on_claim):
         yield
 
 
--- a/libs/ragwort_node/ragwort_node/__init__.py
+++ b/libs/ragwort_node/ragwort_node/__init__.py
@@ -1,6 +1,6 @@
 """The node: a pure core and the twisted daemon around it."""
 
-from ragwort_node._caller_http import HTTP_OF_REFUSAL
+from ragwort_node._caller_http import STATUS_BY_REFUSAL
 from ragwort_node._control import TICK_S
 from ragwort_node._core import NodeCore
 from ragwort_node._daemon import NodeDaemon
@@ -29,7 +29,6 @@
     'Decision',
     'DecisionKind',
     'Effect',
-    'HTTP_OF_REFUSAL',
     'NodeCore',
     'NodeDaemon',
     'NodeOptions',
@@ -39,6 +38,7 @@
     'RefusalKind',
     'RefuseCaller',
     'RunnerStatus',
+    'STATUS_BY_REFUSAL',
     'store_method',
     'store_url',
     'StoreClient',
--- a/libs/ragwort_node/ragwort_node/_caller_http.py
+++ b/libs/ragwort_node/ragwort_node/_caller_http.py
@@ -19,7 +19,7 @@
 from ragwort_node import _status
 import ragwort_wire as wire
 
-HTTP_OF_REFUSAL = {
+STATUS_BY_REFUSAL = {
     _effects.RefusalKind.INVALID: 400,
     _effects.RefusalKind.UNKNOWN_NAME: 404,
     _effects.RefusalKind.UNKNOWN_KEY: 404,
@@ -32,7 +32,7 @@
     _effects.RefusalKind.STORE_DOWN: 503,
     _effects.RefusalKind.CLOCK_SKEW: 503,
 }
-TITLE_OF_HTTP = {
+TITLE_BY_STATUS = {
     400: 'Invalid request',
     404: 'Not found',
     409: 'Key reused',
@@ -78,7 +78,7 @@
     retry_after_s: float | None = None,
 ) -> bytes:
     """Return a problem document."""
-    title = TITLE_OF_HTTP.get(code, 'Problem')
+    title = TITLE_BY_STATUS.get(code, 'Problem')
     return wire.encode_json(
         wire.Problem(
             title,
@@ -217,7 +217,7 @@
         if effect.retry_after_s is not None:
             seconds = max(1, round(effect.retry_after_s))
             self.request.setHeader(b'retry-after', str(seconds).encode())
-        code = HTTP_OF_REFUSAL[effect.kind]
+        code = STATUS_BY_REFUSAL[effect.kind]
         body = problem_body(
             code,
             effect.detail,
--- a/libs/ragwort_node/ragwort_node/_core.py
+++ b/libs/ragwort_node/ragwort_node/_core.py
@@ -154,7 +154,7 @@
     ) -> None:
         for effect in effects:
             if isinstance(effect, state.ClaimResolved):
-                self._on_claim(effect, now)
+                self._on_claim_resolved(effect, now)
             else:
                 self.out.append(effect)
 
@@ -356,7 +356,9 @@
         )
         self.out.append(refuse)
 
-    def _on_claim(self, resolved: state.ClaimResolved, now: float) -> None:
+    def _on_claim_resolved(
+        self, resolved: state.ClaimResolved, now: float
+    ) -> None:
         """Go on, or not, once a claim is settled."""
         execution = self.engine.active.get(resolved.claim.key)
         if execution is None:
--- a/libs/ragwort_node/ragwort_node/_engine.py
+++ b/libs/ragwort_node/ragwort_node/_engine.py
@@ -253,7 +253,7 @@
         if found is None:
             return
         execution, attempt = found
-        match attempt.take_chunk(event.seq, event.data):
+        match attempt.accept_chunk(event.seq, event.data):
             case _execution.ChunkVerdict.REPEATED:
                 self.out.append(_effects.Count('reply.repeated'))
             case _execution.ChunkVerdict.GAP:
@@ -294,7 +294,7 @@
         if found is None:
             return
         execution, attempt = found
-        if not execution.is_whole(attempt, event):
+        if not execution.is_result_complete(attempt, event):
             self.out.append(_effects.Count('reply.truncated'))
             self._break_off(execution, attempt, 'result not whole', now)
             return
--- a/libs/ragwort_node/ragwort_node/_execution.py
+++ b/libs/ragwort_node/ragwort_node/_execution.py
@@ -41,7 +41,7 @@
     resume_from: int = 0
     chunks: list[str] = dataclasses.field(default_factory=list)
 
-    def take_chunk(self, seq: int, data: str) -> ChunkVerdict:
+    def accept_chunk(self, seq: int, data: str) -> ChunkVerdict:
         """Accept the next chunk of the sequence and nothing else."""
         expected = self.resume_from + len(self.chunks)
         if seq < expected:
@@ -129,7 +129,9 @@
         if len(self.history) < MAX_HISTORY:
             self.history.append(decision)
 
-    def is_whole(self, attempt: Attempt, end: model.StageEnd) -> bool:
+    def is_result_complete(
+        self, attempt: Attempt, end: model.StageEnd
+    ) -> bool:
         """Tell whether an end record matches all chunks of the stage."""
         if end.count != attempt.count:
             return False
