--- a/libs/ragwort_node/ragwort_node/_core.py
+++ b/libs/ragwort_node/ragwort_node/_core.py
@@ -311,7 +311,7 @@
             f'{execution.request.workspace}',
             estimate_s=self.dispatcher.estimate(execution, now).mean_s,
         )
-        execution.remember(decision)
+        execution.record_decision(decision)
         self.out.append(decision)
         self.engine.add(execution)
         self.engine.subscribers.attach(execution, subscriber, 0, self.name)
@@ -373,7 +373,7 @@
             resolved.status.name.lower(),
             resolved.standing.host if resolved.standing else '',
         )
-        execution.remember(decision)
+        execution.record_decision(decision)
         self.out.append(decision)
         match resolved.status:
             case model.ClaimStatus.GRANTED:
@@ -496,7 +496,7 @@
     ) -> None:
         """Take the report that came with the reply to a call."""
         execution = self.engine.active.get(ident.request_key)
-        attempt = execution and execution.attempts.get(str(ident))
+        attempt = execution and execution.open_attempts.get(str(ident))
         if attempt:
             self._note_sign(attempt.state.runner.name, report, now)
 
@@ -589,7 +589,7 @@
     def explain(self, key: str) -> list[_effects.Decision] | None:
         """Return the decisions on a request, None if it is not known."""
         execution = self.engine.executions.get(key)
-        return None if execution is None else list(execution.history)
+        return None if execution is None else list(execution.decisions)
 
     def status(self, now: float) -> _status.NodeStatus:
         """Return what this node reports of itself."""
--- a/libs/ragwort_node/ragwort_node/_dispatcher.py
+++ b/libs/ragwort_node/ragwort_node/_dispatcher.py
@@ -208,7 +208,7 @@
         probe = self._probe_target(execution, states, now)
         if probe is not None:
             return self._choice(execution, probe, 'probe', now, True)
-        wanted = execution.fresh_runner
+        wanted = execution.reconnect_runner
         for state in states:
             if state.runner.name == wanted:
                 rule = 'same-runner-new-connection'
@@ -221,7 +221,7 @@
         untried = [
             state
             for state in usable
-            if state.runner.name not in execution.excluded
+            if state.runner.name not in execution.failed_runners
         ]
         if not usable:
             return None
@@ -264,7 +264,7 @@
         now: float,
     ) -> policy.RunnerState | None:
         """Return an ejected runner that is due for one trial request."""
-        if not execution.service.idempotent or execution.tries:
+        if not execution.service.idempotent or execution.stage_attempt_count:
             return None
         for state in states:
             if policy.may_probe(state, now):
@@ -280,7 +280,7 @@
         self.turns[service.name] = turn + 1
         affinity = None
         if service.kind == model.ServiceKind.GENERATOR:
-            affinity = execution.input[:AFFINITY_PREFIX_CHARS]
+            affinity = execution.stage_input[:AFFINITY_PREFIX_CHARS]
         return policy.RoutingContext(
             now,
             self.rng,
--- a/libs/ragwort_node/ragwort_node/_engine.py
+++ b/libs/ragwort_node/ragwort_node/_engine.py
@@ -11,7 +11,7 @@
 from ragwort_node import _timers
 import ragwort_policy as policy
 
-MAX_TRIES_PER_STAGE = 4
+MAX_ATTEMPTS_PER_STAGE = 4
 PROGRESS_TIMEOUT_S = 1.0
 RESUME_RETENTION_S = 30.0
 CALL_PRIORITY = 5
@@ -55,10 +55,10 @@
         """Queue the current stage."""
         execution.phase = _execution.Phase.QUEUED
         execution.stage_started_at = now
-        execution.tries = 0
-        execution.excluded.clear()
-        execution.leader = ''
-        execution.fresh_runner = ''
+        execution.stage_attempt_count = 0
+        execution.failed_runners.clear()
+        execution.streaming_attempt = ''
+        execution.reconnect_runner = ''
         self._requeue(execution, now)
 
     def _requeue(self, execution: _execution.Execution, now: float) -> None:
@@ -108,19 +108,19 @@
         state = choice.state
         service = execution.service
         fresh = not service.idempotent or (
-            execution.fresh_runner == state.runner.name
+            execution.reconnect_runner == state.runner.name
         )
-        execution.fresh_runner = ''
+        execution.reconnect_runner = ''
         execution.phase = _execution.Phase.RUNNING
         execution.dispatched = True
         execution.in_doubt = execution.in_doubt or not service.idempotent
         attempt = self._new_attempt(execution, choice, fresh, is_hedge, now)
         state.on_dispatch()
         state.probing = state.probing or choice.is_probe
-        if not execution.tries:
+        if not execution.stage_attempt_count:
             self.dispatcher.retry_budget(service.name).on_call()
             self.dispatcher.hedge_budget(service.name).on_call()
-        execution.tries += 1
+        execution.stage_attempt_count += 1
         self._log(execution, choice.decision)
         self.out.append(_effects.Count(f'dispatch.{service.name}'))
         call = self._call(execution, attempt, now)
@@ -138,11 +138,11 @@
         is_hedge: bool,
         now: float,
     ) -> _execution.Attempt:
-        execution.total_tries += 1
+        execution.total_attempt_count += 1
         ident = model.AttemptId(
             execution.key,
-            execution.stage,
-            execution.total_tries,
+            execution.stage_index,
+            execution.total_attempt_count,
             model.new_nonce(self.rng),
         )
         attempt = _execution.Attempt(
@@ -153,9 +153,9 @@
             fresh,
             is_hedge,
             choice.is_probe,
-            len(execution.delivered),
+            len(execution.delivered_chunks),
         )
-        execution.attempts[str(ident)] = attempt
+        execution.open_attempts[str(ident)] = attempt
         return attempt
 
     def _timer(
@@ -177,11 +177,11 @@
         return model.StageCall(
             attempt.ident,
             execution.service.name,
-            execution.input,
+            execution.stage_input,
             remaining_s,
             HEDGE_PRIORITY if attempt.is_hedge else CALL_PRIORITY,
             attempt.resume_from,
-            ''.join(execution.delivered),
+            ''.join(execution.delivered_chunks),
         )
 
     def _plan_hedge(
@@ -193,7 +193,7 @@
         """Plan a second call where the class is short of its target."""
         work = execution.class_of_work
         attainment = self.dispatcher.attainment
-        if attempt.is_hedge or execution.delivered:
+        if attempt.is_hedge or execution.delivered_chunks:
             return
         if not attainment.shortfall(work.target, work.name, now):
             return
@@ -209,7 +209,7 @@
     def _log(
         self, execution: _execution.Execution, decision: _effects.Decision
     ) -> None:
-        execution.remember(decision)
+        execution.record_decision(decision)
         self.out.append(decision)
 
     def _decide(
@@ -232,7 +232,7 @@
         execution = self.active.get(ident.request_key)
         if execution is None:
             return None
-        attempt = execution.attempts.get(str(ident))
+        attempt = execution.open_attempts.get(str(ident))
         return None if attempt is None else (execution, attempt)
 
     def _match(
@@ -260,8 +260,8 @@
                 self.out.append(_effects.Count('reply.gap'))
                 self._break_off(execution, attempt, 'gap in the chunks', now)
             case _execution.ChunkVerdict.ACCEPTED:
-                attempt.last_sign_at = now
-                if execution.relays:
+                attempt.last_progress_at = now
+                if execution.streams_chunks:
                     self._relay(execution, attempt, event, now)
 
     def _relay(
@@ -273,11 +273,11 @@
     ) -> None:
         """Pass a chunk on; the first attempt to bring one keeps the stream."""
         ident = str(attempt.ident)
-        if not execution.leader:
-            execution.leader = ident
+        if not execution.streaming_attempt:
+            execution.streaming_attempt = ident
             self._cancel_others(execution, attempt, now)
-        if execution.leader == ident:
-            execution.delivered.append(event.data)
+        if execution.streaming_attempt == ident:
+            execution.delivered_chunks.append(event.data)
             self.subscribers.tell(
                 execution, model.Chunk(event.seq, event.data), now
             )
@@ -286,7 +286,7 @@
         """Note that a runner is still at work on an attempt."""
         found = self._find(event.attempt)
         if found is not None:
-            found[1].last_sign_at = now
+            found[1].last_progress_at = now
 
     def on_end(self, event: model.StageEnd, now: float) -> None:
         """Accept a stage result if it is whole."""
@@ -298,7 +298,7 @@
             self.out.append(_effects.Count('reply.truncated'))
             self._break_off(execution, attempt, 'result not whole', now)
             return
-        del execution.attempts[str(attempt.ident)]
+        del execution.open_attempts[str(attempt.ident)]
         self.accounting.on_result(execution, attempt, event, now)
         self._cancel_others(execution, attempt, now)
         self._finish_stage(execution, attempt, now)
@@ -310,7 +310,7 @@
         keep: _execution.Attempt,
         now: float,
     ) -> None:
-        for attempt in list(execution.attempts.values()):
+        for attempt in list(execution.open_attempts.values()):
             if attempt is not keep:
                 self._cancel(execution, attempt, now)
 
@@ -321,7 +321,7 @@
         now: float,
     ) -> None:
         """Give up an attempt without blame, and count its cost as waste."""
-        del execution.attempts[str(attempt.ident)]
+        del execution.open_attempts[str(attempt.ident)]
         state = attempt.state
         state.on_cancel()
         if attempt.is_probe:
@@ -340,12 +340,12 @@
             execution.in_doubt = False
             execution.side_effect_done = True
         if execution.is_last_stage:
-            if not execution.relays:
+            if not execution.streams_chunks:
                 self._deliver_whole(execution, attempt.chunks, now)
             self.finish(execution, model.Outcome.COMPLETED, '', now)
             return
-        execution.input = ''.join(attempt.chunks)
-        execution.stage += 1
+        execution.stage_input = ''.join(attempt.chunks)
+        execution.stage_index += 1
         self.start_stage(execution, now)
 
     def _deliver_whole(
@@ -355,7 +355,7 @@
         now: float,
     ) -> None:
         for seq, data in enumerate(chunks):
-            execution.delivered.append(data)
+            execution.delivered_chunks.append(data)
             self.subscribers.tell(execution, model.Chunk(seq, data), now)
 
     def _break_off(
@@ -389,18 +389,18 @@
         detail: str,
         now: float,
     ) -> None:
-        del execution.attempts[str(attempt.ident)]
-        if execution.leader == str(attempt.ident):
-            execution.leader = ''
+        del execution.open_attempts[str(attempt.ident)]
+        if execution.streaming_attempt == str(attempt.ident):
+            execution.streaming_attempt = ''
         state = attempt.state
         service = execution.service
         self.out.append(_effects.Count(f'failure.{service.name}.{failure}'))
         if self._blames_connection(attempt, failure):
             state.on_cancel()
-            execution.fresh_runner = state.runner.name
+            execution.reconnect_runner = state.runner.name
         else:
             state.on_failure(failure, now)
-            execution.excluded.add(state.runner.name)
+            execution.failed_runners.add(state.runner.name)
             self.accounting.judge(state, now)
         if attempt.is_probe:
             self.accounting.on_probe_end(attempt, False, 0.0, now)
@@ -408,7 +408,7 @@
             self.accounting.on_waste(execution, attempt, now)
         elif not service.idempotent:
             execution.in_doubt = False
-        if not execution.attempts:
+        if not execution.open_attempts:
             self._retry_or_end(execution, failure, detail, now)
         self.pump(service.name, now)
 
@@ -420,7 +420,7 @@
             model.CallFailure.LOST,
             model.CallFailure.SILENT,
         )
-        return suspect and not attempt.fresh
+        return suspect and not attempt.fresh_connection
 
     def _retry_or_end(
         self,
@@ -443,7 +443,7 @@
             _effects.DecisionKind.RETRY,
             'retry',
             now,
-            execution.fresh_runner,
+            execution.reconnect_runner,
             reason,
         )
         self.out.append(_effects.Count(f'retry.{name}'))
@@ -460,8 +460,8 @@
         service = execution.service
         if execution.in_doubt:
             return 'it may have run and may not be repeated'
-        if execution.tries >= MAX_TRIES_PER_STAGE:
-            return f'{execution.tries} tries'
+        if execution.stage_attempt_count >= MAX_ATTEMPTS_PER_STAGE:
+            return f'{execution.stage_attempt_count} tries'
         estimate = self.dispatcher.estimate(execution, now)
         if (
             estimate.has_enough_samples
@@ -492,7 +492,7 @@
             reason = f'deadline passed at stage {stage}'
             self.finish(execution, outcome, reason, now)
             return
-        attempt = execution.attempts.get(ident)
+        attempt = execution.open_attempts.get(ident)
         if attempt is None:
             return
         if kind == _timers.TimerKind.PROGRESS:
@@ -506,7 +506,7 @@
         attempt: _execution.Attempt,
         now: float,
     ) -> None:
-        due = attempt.last_sign_at + PROGRESS_TIMEOUT_S
+        due = attempt.last_progress_at + PROGRESS_TIMEOUT_S
         if now < due:
             self._timer(due, _timers.TimerKind.PROGRESS, attempt)
             return
@@ -522,7 +522,7 @@
         now: float,
     ) -> None:
         service = execution.service
-        if attempt.chunks or len(execution.attempts) > 1:
+        if attempt.chunks or len(execution.open_attempts) > 1:
             return
         exclude = frozenset({attempt.state.runner.name})
         choice = self.dispatcher.choose(execution, now, exclude)
@@ -545,7 +545,7 @@
     ) -> None:
         """End a request and tell its callers at once."""
         self.active.pop(execution.key, None)
-        for attempt in list(execution.attempts.values()):
+        for attempt in list(execution.open_attempts.values()):
             self._cancel(execution, attempt, now)
         if execution.phase == _execution.Phase.QUEUED:
             workspace = execution.request.workspace
@@ -557,8 +557,8 @@
         execution.end = model.End(
             execution.key,
             outcome,
-            len(execution.delivered),
-            model.content_digest(execution.delivered),
+            len(execution.delivered_chunks),
+            model.content_digest(execution.delivered_chunks),
             reason,
             retry_after_s,
         )
--- a/libs/ragwort_node/ragwort_node/_execution.py
+++ b/libs/ragwort_node/ragwort_node/_execution.py
@@ -1,4 +1,4 @@
-"""State of one request on its way through the stages."""
+"""State of one request while its pipeline runs."""
 
 import dataclasses
 import enum
@@ -7,11 +7,11 @@
 from ragwort_node import _effects
 import ragwort_policy as policy
 
-MAX_HISTORY = 64
+MAX_DECISIONS = 64
 
 
 class Phase(enum.StrEnum):
-    """Where a request stands."""
+    """Phase of a request."""
 
     CLAIMING = 'claiming'
     QUEUED = 'queued'
@@ -20,7 +20,7 @@
 
 
 class ChunkVerdict(enum.StrEnum):
-    """What becomes of a chunk that names the right attempt."""
+    """Result of checking the sequence number of a chunk."""
 
     ACCEPTED = 'accepted'
     REPEATED = 'repeated'
@@ -29,20 +29,24 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One try of one stage; chunks holds its result from resume_from."""
+    """One call for one stage.
+
+    chunks holds the stage result from sequence number resume_from on;
+    fresh_connection is set if the call has a connection of its own.
+    """
 
     ident: model.AttemptId
     state: policy.RunnerState
     started_at: float
-    last_sign_at: float
-    fresh: bool
+    last_progress_at: float
+    fresh_connection: bool
     is_hedge: bool = False
     is_probe: bool = False
     resume_from: int = 0
     chunks: list[str] = dataclasses.field(default_factory=list)
 
     def accept_chunk(self, seq: int, data: str) -> ChunkVerdict:
-        """Accept the next chunk of the sequence and nothing else."""
+        """Append a chunk if it is the next one in sequence."""
         expected = self.resume_from + len(self.chunks)
         if seq < expected:
             return ChunkVerdict.REPEATED
@@ -52,18 +56,19 @@
         return ChunkVerdict.ACCEPTED
 
     @property
-    def count(self) -> int:
-        """Return the number of chunks of the stage result so far."""
+    def chunk_count(self) -> int:
+        """Return how many chunks of the stage result have arrived."""
         return self.resume_from + len(self.chunks)
 
 
 @dataclasses.dataclass(slots=True)
 class Execution:
-    """A request, its current stage and what its caller has been told.
+    """State of a request, its current stage and its answer so far.
 
-    delivered are the chunks relayed to callers; leader is the attempt
-    that relays. in_doubt is set while a non-idempotent call may have run
-    without its result having been seen.
+    delivered_chunks were sent to the callers; streaming_attempt is the id
+    of the attempt whose chunks are sent on. reconnect_runner is the runner
+    to call again over a fresh connection. in_doubt is set while a
+    non-idempotent call may have run without its result having been seen.
     """
 
     request: model.Request
@@ -71,25 +76,27 @@
     services: tuple[model.Service, ...]
     started_at: float
     deadline_at: float
-    input: str
+    stage_input: str
     claim_nonce: str = ''
     phase: Phase = Phase.QUEUED
-    stage: int = 0
-    tries: int = 0
-    total_tries: int = 0
+    stage_index: int = 0
+    stage_attempt_count: int = 0
+    total_attempt_count: int = 0
     stage_started_at: float = 0.0
-    attempts: dict[str, Attempt] = dataclasses.field(default_factory=dict)
-    leader: str = ''
-    excluded: set[str] = dataclasses.field(default_factory=set)
-    fresh_runner: str = ''
-    delivered: list[str] = dataclasses.field(default_factory=list)
+    open_attempts: dict[str, Attempt] = dataclasses.field(default_factory=dict)
+    streaming_attempt: str = ''
+    failed_runners: set[str] = dataclasses.field(default_factory=set)
+    reconnect_runner: str = ''
+    delivered_chunks: list[str] = dataclasses.field(default_factory=list)
     dispatched: bool = False
     in_doubt: bool = False
     side_effect_done: bool = False
     subscribers: dict[str, int] = dataclasses.field(default_factory=dict)
     last_event_at: float = 0.0
     end: model.End | None = None
-    history: list[_effects.Decision] = dataclasses.field(default_factory=list)
+    decisions: list[_effects.Decision] = dataclasses.field(
+        default_factory=list
+    )
 
     @property
     def key(self) -> str:
@@ -99,41 +106,43 @@
     @property
     def service(self) -> model.Service:
         """Return the service of the current stage."""
-        return self.services[self.stage]
+        return self.services[self.stage_index]
 
     @property
     def is_last_stage(self) -> bool:
-        """Tell whether the current stage gives the answer."""
-        return self.stage == len(self.services) - 1
+        """Tell whether the current stage produces the answer."""
+        return self.stage_index == len(self.services) - 1
 
     @property
-    def relays(self) -> bool:
-        """Tell whether chunks go to the caller as they come."""
+    def streams_chunks(self) -> bool:
+        """Tell whether the caller receives chunks as they arrive."""
         return self.is_last_stage and self.service.streams
 
     @property
     def remaining_services(self) -> tuple[str, ...]:
-        """Return the names of the services still to be called."""
-        return tuple(service.name for service in self.services[self.stage :])
+        """Return the services of the current and later stages."""
+        return tuple(
+            service.name for service in self.services[self.stage_index :]
+        )
 
     def failure_outcome(self) -> model.Outcome:
-        """Return the honest outcome if the request ended now, unanswered."""
+        """Return the outcome if the request ended now without an answer."""
         if self.in_doubt or self.side_effect_done:
             return model.Outcome.UNKNOWN
         if self.dispatched:
             return model.Outcome.FAILED
         return model.Outcome.NOT_RUN
 
-    def remember(self, decision: _effects.Decision) -> None:
-        """Keep a decision for the explanation of this request."""
-        if len(self.history) < MAX_HISTORY:
-            self.history.append(decision)
+    def record_decision(self, decision: _effects.Decision) -> None:
+        """Keep a decision for the explain command, up to MAX_DECISIONS."""
+        if len(self.decisions) < MAX_DECISIONS:
+            self.decisions.append(decision)
 
     def is_result_complete(
         self, attempt: Attempt, end: model.StageEnd
     ) -> bool:
-        """Tell whether an end record matches all chunks of the stage."""
-        if end.count != attempt.count:
+        """Tell whether an end record matches all chunks received."""
+        if end.count != attempt.chunk_count:
             return False
-        prior = self.delivered[: attempt.resume_from]
+        prior = self.delivered_chunks[: attempt.resume_from]
         return end.digest == model.content_digest(prior + attempt.chunks)
--- a/libs/ragwort_node/ragwort_node/_subscribers.py
+++ b/libs/ragwort_node/ragwort_node/_subscribers.py
@@ -27,8 +27,8 @@
         """Send a subscriber all chunks from from_seq on, then what comes."""
         accepted = model.Accepted(execution.key, host)
         self.out.append(model.AnswerCaller(subscriber, accepted))
-        for seq in range(from_seq, len(execution.delivered)):
-            chunk = model.Chunk(seq, execution.delivered[seq])
+        for seq in range(from_seq, len(execution.delivered_chunks)):
+            chunk = model.Chunk(seq, execution.delivered_chunks[seq])
             self.out.append(model.AnswerCaller(subscriber, chunk))
         if execution.end is not None:
             self.out.append(model.AnswerCaller(subscriber, execution.end))
