--- a/libs/ragwort_node/ragwort_node/_accounting.py
+++ b/libs/ragwort_node/ragwort_node/_accounting.py
@@ -1,4 +1,4 @@
-"""What results, probes and outcomes tell of runners and classes of work."""
+"""Statistics of runners and classes of work, from results and outcomes."""
 
 import ragwort_model as model
 from ragwort_node import _dispatcher
@@ -8,14 +8,16 @@
 
 
 class Accounting:
-    """Keep the figures that later decisions go by."""
+    """Update the statistics that later decisions are based on."""
 
     def __init__(
-        self, dispatcher: _dispatcher.Dispatcher, out: list[_effects.Effect]
+        self,
+        dispatcher: _dispatcher.Dispatcher,
+        effects: list[_effects.Effect],
     ) -> None:
-        """Write to the dispatcher's figures; out collects the effects."""
+        """Update the dispatcher's statistics and append to effects."""
         self.dispatcher = dispatcher
-        self.out = out
+        self.effects = effects
 
     def on_result(
         self,
@@ -24,21 +26,23 @@
         event: model.StageEnd,
         now: float,
     ) -> None:
-        """Take a whole result into the figures of its runner."""
+        """Record a complete result for its runner and class of work."""
         state = attempt.state
         service = execution.service.name
         latency_s = now - attempt.started_at
         state.on_result(event.busy_s, latency_s, now)
         state.on_report(event.report, now)
-        work = execution.class_of_work.name
-        self.dispatcher.latencies.add(service, work, latency_s, now)
+        class_name = execution.class_of_work.name
+        self.dispatcher.latencies.add(service, class_name, latency_s, now)
         cost = event.busy_s * state.runner.cost_rate
-        self.dispatcher.attainment.on_cost(work, service, cost, False, now)
-        self.out.append(_effects.Timing(f'stage.{service}', latency_s))
+        self.dispatcher.attainment.on_cost(
+            class_name, service, cost, False, now
+        )
+        self.effects.append(_effects.Timing(f'stage.{service}', latency_s))
         if attempt.is_probe:
             self.on_probe_end(attempt, True, event.busy_s, now)
         else:
-            self.judge(state, now)
+            self.eject_if_outlier(state, now)
 
     def on_probe_end(
         self,
@@ -47,34 +51,34 @@
         busy_s: float,
         now: float,
     ) -> None:
-        """Judge a runner by a probe of it."""
+        """Reinstate or keep ejected a runner after a probe."""
         state = attempt.state
         peers = self.dispatcher.runners_in_service(state.runner.service, now)
-        back = policy.on_probe_result(state, ok, busy_s, peers, now)
+        reinstated = policy.on_probe_result(state, ok, busy_s, peers, now)
         decision = _effects.Decision(
             now,
             _effects.DecisionKind.EJECTION,
             state.runner.name,
-            'back-in-service' if back else 'still-out',
+            'back-in-service' if reinstated else 'still-out',
             estimate_s=max(0.0, state.ejected_until - now),
         )
-        self.out.append(decision)
+        self.effects.append(decision)
 
-    def judge(self, state: policy.RunnerState, now: float) -> None:
-        """Take a runner out of service if it does worse than its peers."""
-        decision = self.dispatcher.judge(state, now)
+    def eject_if_outlier(self, state: policy.RunnerState, now: float) -> None:
+        """Eject a runner that performs worse than its peers."""
+        decision = self.dispatcher.eject_if_outlier(state, now)
         if decision is not None:
-            self.out.append(decision)
+            self.effects.append(decision)
 
-    def on_waste(
+    def on_wasted_attempt(
         self,
         execution: _execution.Execution,
         attempt: _execution.Attempt,
         now: float,
     ) -> None:
-        """Estimate the cost of a call whose result is not used.
+        """Record the estimated cost of an attempt whose result is unused.
 
-        It worked at most since it was sent.
+        The runner was busy at most for the time since the dispatch.
         """
         state = attempt.state
         busy_s = min(now - attempt.started_at, state.busy_s or 0.0)
@@ -92,12 +96,12 @@
         outcome: model.Outcome,
         now: float,
     ) -> None:
-        """Take a request's end into the attainment of its class."""
+        """Record the end of a request in the attainment of its class."""
         work = execution.class_of_work
         elapsed_s = now - execution.started_at
         completed = outcome == model.Outcome.COMPLETED
         in_time = elapsed_s <= work.target.deadline_s
         attainment = self.dispatcher.attainment
         attainment.on_end(work.name, completed, in_time, now)
-        self.out.append(_effects.Count(f'outcome.{work.name}.{outcome}'))
-        self.out.append(_effects.Timing(f'request.{work.name}', elapsed_s))
+        self.effects.append(_effects.Count(f'outcome.{work.name}.{outcome}'))
+        self.effects.append(_effects.Timing(f'request.{work.name}', elapsed_s))
--- a/libs/ragwort_node/ragwort_node/_core.py
+++ b/libs/ragwort_node/ragwort_node/_core.py
@@ -44,13 +44,13 @@
         """Create a node that knows nothing yet."""
         self.options = options
         self.rng = rng
-        self.out: list[_effects.Effect] = []
+        self.effects: list[_effects.Effect] = []
         self.control = _control.ControlPlane(options, rng, now, wall)
         self.dispatcher = _dispatcher.Dispatcher(options, self.control, rng)
-        self.engine = _engine.Engine(self.dispatcher, rng, self.out)
+        self.engine = _engine.Engine(self.dispatcher, rng, self.effects)
         self.keepers: dict[str, _placement.PlacementKeeper] = {}
         self.poller = _poller.RunnerPoller(self.control, self.name)
-        self.relays = _relays.RelayTable(options.host.name, self.out)
+        self.relays = _relays.RelayTable(options.host.name, self.effects)
         self.state = _status.NodeState.STARTING
         self.accept_until = 0.0
         self.next_tick = now
@@ -62,8 +62,8 @@
         return self.options.host.name
 
     def _flush(self) -> list[_effects.Effect]:
-        effects = [self._localise(effect) for effect in self.out]
-        self.out.clear()
+        effects = [self._localise(effect) for effect in self.effects]
+        self.effects.clear()
         return effects
 
     def _localise(self, effect: _effects.Effect) -> _effects.Effect:
@@ -88,17 +88,17 @@
         if now >= self.next_tick:
             self.next_tick = now + _control.TICK_S
             self._run_control(self.control.tick(now, wall), now)
-            self.out += self.poller.tick(now)
+            self.effects += self.poller.tick(now)
             self._tick_placement(now, wall)
             self._note_changes(now)
             self._update_state(now)
-            self.engine.subscribers.heartbeats(
+            self.engine.subscribers.send_heartbeats(
                 self.engine.active.values(), now
             )
             live = frozenset(u.name for u in self.control.members.live())
             self.relays.tick(now, live)
             for service in list(self.dispatcher.queues):
-                self.engine.pump(service, now)
+                self.engine.dispatch_queued(service, now)
         return self._flush()
 
     def _tick_placement(self, now: float, wall: float) -> None:
@@ -118,7 +118,7 @@
             role = f'placement/{service}'
             wanted = membership.is_elected(self.control.members, role, 1, None)
             shortfall = self._shortfall(service, now) if wanted else 0.0
-            self.out += keeper.tick(now, wall, wanted, shortfall)
+            self.effects += keeper.tick(now, wall, wanted, shortfall)
 
     def _shortfall(self, service: str, now: float) -> float:
         """Return the largest shortfall of the classes that use a service."""
@@ -156,7 +156,7 @@
             if isinstance(effect, state.ClaimResolved):
                 self._on_claim_resolved(effect, now)
             else:
-                self.out.append(effect)
+                self.effects.append(effect)
 
     def _note_changes(self, now: float) -> None:
         """Log what members and configuration have become."""
@@ -170,7 +170,7 @@
                 detail=f'incarnation {update.incarnation}, '
                 f'accepting {update.accepting}',
             )
-            self.out.append(decision)
+            self.effects.append(decision)
         adopted = self.control.take_adopted()
         if adopted:
             self.dispatcher.forget_removed()
@@ -184,7 +184,7 @@
                 'kept-last-valid' if problem else 'in-force',
                 detail=problem.text if problem else f'version {item.version}',
             )
-            self.out.append(decision)
+            self.effects.append(decision)
 
     def not_ready(self) -> str:
         """Return why the node cannot serve, empty if it can."""
@@ -210,7 +210,7 @@
         decision = _effects.Decision(
             now, _effects.DecisionKind.DRAIN, self.name, rule, self.state
         )
-        self.out.append(decision)
+        self.effects.append(decision)
 
     def submit(
         self, request: model.Request, subscriber: str, now: float, wall: float
@@ -241,7 +241,7 @@
             _effects.RefusalKind.KEY_REUSED,
             'the key was used with another body; take a new key',
         )
-        self.out.append(refuse)
+        self.effects.append(refuse)
 
     def _try_admit(
         self, request: model.Request, subscriber: str, now: float, wall: float
@@ -312,7 +312,7 @@
             estimate_s=self.dispatcher.estimate(execution, now).mean_s,
         )
         execution.record_decision(decision)
-        self.out.append(decision)
+        self.effects.append(decision)
         self.engine.add(execution)
         self.engine.subscribers.attach(execution, subscriber, 0, self.name)
         if not plan.needs_claim:
@@ -345,8 +345,8 @@
             f'refused-{refusal.kind}',
             detail=refusal.detail,
         )
-        self.out.append(decision)
-        self.out.append(_effects.Count(f'refused.{refusal.kind}'))
+        self.effects.append(decision)
+        self.effects.append(_effects.Count(f'refused.{refusal.kind}'))
         refuse = _effects.RefuseCaller(
             subscriber,
             key,
@@ -354,7 +354,7 @@
             refusal.detail,
             refusal.retry_after_s,
         )
-        self.out.append(refuse)
+        self.effects.append(refuse)
 
     def _on_claim_resolved(
         self, resolved: state.ClaimResolved, now: float
@@ -374,7 +374,7 @@
             resolved.standing.host if resolved.standing else '',
         )
         execution.record_decision(decision)
-        self.out.append(decision)
+        self.effects.append(decision)
         match resolved.status:
             case model.ClaimStatus.GRANTED:
                 self.engine.start_stage(execution, now)
@@ -459,7 +459,7 @@
                 _effects.RefusalKind.UNKNOWN_KEY,
                 f'no stream of this key here, nor a live host {host!r}',
             )
-            self.out.append(refuse)
+            self.effects.append(refuse)
         return self._flush()
 
     def detach(self, subscriber: str) -> list[_effects.Effect]:
@@ -537,7 +537,7 @@
             return
         reason = f'host {self.name} no longer knows this key'
         end = model.End(message.key, model.Outcome.UNKNOWN, 0, '', reason)
-        self.out.append(model.AnswerCaller(subscriber, end))
+        self.effects.append(model.AnswerCaller(subscriber, end))
 
     def on_store(
         self, result: model.StoreResult, now: float
@@ -561,7 +561,7 @@
         self.state = _status.NodeState.DRAINING
         self.accept_until = now + self.options.address_ttl_s + DRAIN_MARGIN_S
         self.control.members.set_accepting(False, now)
-        self.out += self.control.members.announce(wall)
+        self.effects += self.control.members.announce(wall)
         self._log_state(now, 'leaving')
         return self._flush()
 
@@ -575,7 +575,7 @@
 
     def leave(self, now: float, wall: float) -> list[_effects.Effect]:
         """Tell the other nodes that this one is gone."""
-        self.out += self.control.members.leave(now, wall)
+        self.effects += self.control.members.leave(now, wall)
         return self._flush()
 
     def addresses(
--- a/libs/ragwort_node/ragwort_node/_dispatcher.py
+++ b/libs/ragwort_node/ragwort_node/_dispatcher.py
@@ -298,7 +298,7 @@
             turn,
         )
 
-    def judge(
+    def eject_if_outlier(
         self, state: policy.RunnerState, now: float
     ) -> _effects.Decision | None:
         """Eject a runner if it is worse than its peers."""
--- a/libs/ragwort_node/ragwort_node/_effects.py
+++ b/libs/ragwort_node/ragwort_node/_effects.py
@@ -1,4 +1,4 @@
-"""Effects of a node core other than those of the model."""
+"""Effects of a node core beside those of the model package."""
 
 import dataclasses
 import enum
@@ -8,7 +8,7 @@
 
 
 class DecisionKind(enum.StrEnum):
-    """What was decided."""
+    """Kind of a decision, written to the log as its event."""
 
     ADMISSION = 'admission'
     CLAIM = 'claim'
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decision:
-    """Effect: one line of the decision log, with its reason as data.
+    """Effect: write a decision and its reason to the log.
 
     subject is a request key or the name of a node, runner or object;
     at is monotonic seconds.
@@ -58,7 +58,7 @@
 
 
 class RefusalKind(enum.StrEnum):
-    """Why a request was refused before anything of it ran."""
+    """Reason for refusing a request before any stage was dispatched."""
 
     INVALID = 'invalid'
     UNKNOWN_NAME = 'unknown_name'
--- a/libs/ragwort_node/ragwort_node/_engine.py
+++ b/libs/ragwort_node/ragwort_node/_engine.py
@@ -1,4 +1,4 @@
-"""Life of requests: stages, attempts, retries, hedges and outcomes."""
+"""Life cycle of requests: stages, attempts, retries, hedges, outcomes."""
 
 import random
 
@@ -13,36 +13,36 @@
 
 MAX_ATTEMPTS_PER_STAGE = 4
 PROGRESS_TIMEOUT_S = 1.0
-RESUME_RETENTION_S = 30.0
+ENDED_RETENTION_S = 30.0
 CALL_PRIORITY = 5
 HEDGE_PRIORITY = 2
-LATE_RETRY_S = 1.0
-FREE_RETRIES = frozenset(
+TOO_LATE_RETRY_AFTER_S = 1.0
+BUDGET_EXEMPT_FAILURES = frozenset(
     {model.CallFailure.REFUSED, model.CallFailure.UNREACHABLE}
 )
 
 
 class Engine:
-    """Drive executions from stage to stage; out collects the effects."""
+    """Run executions stage by stage."""
 
     def __init__(
         self,
         dispatcher: _dispatcher.Dispatcher,
         rng: random.Random,
-        out: list[_effects.Effect],
+        effects: list[_effects.Effect],
     ) -> None:
-        """Start with no request."""
+        """Start without requests; append to effects."""
         self.dispatcher = dispatcher
         self.rng = rng
-        self.out = out
+        self.effects = effects
         self.timers = _timers.Timers()
         self.executions: dict[str, _execution.Execution] = {}
         self.active: dict[str, _execution.Execution] = {}
-        self.accounting = _accounting.Accounting(dispatcher, out)
-        self.subscribers = _subscribers.Subscribers(out)
+        self.accounting = _accounting.Accounting(dispatcher, effects)
+        self.subscribers = _subscribers.Subscribers(effects)
 
     def add(self, execution: _execution.Execution) -> None:
-        """Take an execution into care until its deadline."""
+        """Add an execution and the timer of its deadline."""
         self.executions[execution.key] = execution
         self.active[execution.key] = execution
         self.timers.add(
@@ -59,16 +59,16 @@
         execution.failed_runners.clear()
         execution.streaming_attempt = ''
         execution.reconnect_runner = ''
-        self._requeue(execution, now)
+        self._enqueue(execution, now)
 
-    def _requeue(self, execution: _execution.Execution, now: float) -> None:
+    def _enqueue(self, execution: _execution.Execution, now: float) -> None:
         self.dispatcher.enqueue(execution, now)
-        self.pump(execution.service.name, now)
+        self.dispatch_queued(execution.service.name, now)
 
-    def pump(self, service: str, now: float) -> None:
-        """Dispatch waiting calls while runners have room."""
+    def dispatch_queued(self, service: str, now: float) -> None:
+        """Dispatch queued calls of a service while runners have room."""
         while self.dispatcher.queue(service).size:
-            if not self._has_room(service, now):
+            if not self._has_free_runner(service, now):
                 return
             call = self.dispatcher.pop(service, now)
             if call is None:
@@ -77,7 +77,7 @@
             if execution is None or execution.service.name != service:
                 continue
             if policy.is_too_late(call, now):
-                self._give_up(execution, now)
+                self._end_too_late(execution, now)
                 continue
             choice = self.dispatcher.choose(execution, now)
             if choice is None:
@@ -85,13 +85,15 @@
                 return
             self._dispatch(execution, choice, now)
 
-    def _give_up(self, execution: _execution.Execution, now: float) -> None:
-        """End a waiting request at once that can no longer be in time."""
+    def _end_too_late(
+        self, execution: _execution.Execution, now: float
+    ) -> None:
+        """End a queued request that can no longer meet its deadline."""
         outcome = execution.failure_outcome()
         reason = f'too late to start stage {execution.service.name}'
-        self.finish(execution, outcome, reason, now, LATE_RETRY_S)
+        self.finish(execution, outcome, reason, now, TOO_LATE_RETRY_AFTER_S)
 
-    def _has_room(self, service: str, now: float) -> bool:
+    def _has_free_runner(self, service: str, now: float) -> bool:
         return any(
             policy.may_probe(state, now)
             or (state.has_capacity(now) and not policy.is_ejected(state, now))
@@ -121,13 +123,13 @@
             self.dispatcher.retry_budget(service.name).on_call()
             self.dispatcher.hedge_budget(service.name).on_call()
         execution.stage_attempt_count += 1
-        self._log(execution, choice.decision)
-        self.out.append(_effects.Count(f'dispatch.{service.name}'))
-        call = self._call(execution, attempt, now)
-        self.out.append(model.CallRunner(state.runner, call, fresh))
+        self._log_decision(execution, choice.decision)
+        self.effects.append(_effects.Count(f'dispatch.{service.name}'))
+        call = self._stage_call(execution, attempt, now)
+        self.effects.append(model.CallRunner(state.runner, call, fresh))
         if service.idempotent:
             due = now + PROGRESS_TIMEOUT_S
-            self._timer(due, _timers.TimerKind.PROGRESS, attempt)
+            self._add_timer(due, _timers.TimerKind.PROGRESS, attempt)
             self._plan_hedge(execution, attempt, now)
 
     def _new_attempt(
@@ -158,7 +160,7 @@
         execution.open_attempts[str(ident)] = attempt
         return attempt
 
-    def _timer(
+    def _add_timer(
         self,
         due: float,
         kind: _timers.TimerKind,
@@ -167,7 +169,7 @@
         key = attempt.ident.request_key
         self.timers.add(due, kind, key, str(attempt.ident))
 
-    def _call(
+    def _stage_call(
         self,
         execution: _execution.Execution,
         attempt: _execution.Attempt,
@@ -190,7 +192,7 @@
         attempt: _execution.Attempt,
         now: float,
     ) -> None:
-        """Plan a second call where the class is short of its target."""
+        """Set a hedge timer if the class of work is below its target."""
         work = execution.class_of_work
         attainment = self.dispatcher.attainment
         if attempt.is_hedge or execution.delivered_chunks:
@@ -204,15 +206,15 @@
             return
         due = now + histogram.quantile(policy.HEDGE_QUANTILE)
         if due < execution.deadline_at:
-            self._timer(due, _timers.TimerKind.HEDGE, attempt)
+            self._add_timer(due, _timers.TimerKind.HEDGE, attempt)
 
-    def _log(
+    def _log_decision(
         self, execution: _execution.Execution, decision: _effects.Decision
     ) -> None:
         execution.record_decision(decision)
-        self.out.append(decision)
+        self.effects.append(decision)
 
-    def _decide(
+    def _log_new_decision(
         self,
         execution: _execution.Execution,
         kind: _effects.DecisionKind,
@@ -224,9 +226,9 @@
         decision = _effects.Decision(
             now, kind, execution.key, rule, chosen, detail
         )
-        self._log(execution, decision)
+        self._log_decision(execution, decision)
 
-    def _find(
+    def _find_attempt(
         self, ident: model.AttemptId
     ) -> tuple[_execution.Execution, _execution.Attempt] | None:
         execution = self.active.get(ident.request_key)
@@ -235,76 +237,78 @@
         attempt = execution.open_attempts.get(str(ident))
         return None if attempt is None else (execution, attempt)
 
-    def _match(
+    def _match_attempt(
         self, event: model.StageChunk | model.StageEnd
     ) -> tuple[_execution.Execution, _execution.Attempt] | None:
-        """Return the current attempt that a record names, and count others."""
+        """Return the open attempt of a record; count records without one."""
         if event.echoed_attempt != str(event.attempt):
-            self.out.append(_effects.Count('reply.crossed'))
+            self.effects.append(_effects.Count('reply.crossed'))
             return None
-        found = self._find(event.attempt)
+        found = self._find_attempt(event.attempt)
         if found is None:
-            self.out.append(_effects.Count('reply.late'))
+            self.effects.append(_effects.Count('reply.late'))
         return found
 
     def on_chunk(self, event: model.StageChunk, now: float) -> None:
-        """Take a chunk if it is the next one of a current attempt."""
-        found = self._match(event)
+        """Accept a chunk if it is the next one of an open attempt."""
+        found = self._match_attempt(event)
         if found is None:
             return
         execution, attempt = found
         match attempt.accept_chunk(event.seq, event.data):
             case _execution.ChunkVerdict.REPEATED:
-                self.out.append(_effects.Count('reply.repeated'))
+                self.effects.append(_effects.Count('reply.repeated'))
             case _execution.ChunkVerdict.GAP:
-                self.out.append(_effects.Count('reply.gap'))
-                self._break_off(execution, attempt, 'gap in the chunks', now)
+                self.effects.append(_effects.Count('reply.gap'))
+                self._abort_attempt(
+                    execution, attempt, 'gap in the chunks', now
+                )
             case _execution.ChunkVerdict.ACCEPTED:
                 attempt.last_progress_at = now
                 if execution.streams_chunks:
-                    self._relay(execution, attempt, event, now)
+                    self._stream_chunk(execution, attempt, event, now)
 
-    def _relay(
+    def _stream_chunk(
         self,
         execution: _execution.Execution,
         attempt: _execution.Attempt,
         event: model.StageChunk,
         now: float,
     ) -> None:
-        """Pass a chunk on; the first attempt to bring one keeps the stream."""
+        """Send a chunk to the callers; the first attempt to have one wins."""
         ident = str(attempt.ident)
         if not execution.streaming_attempt:
             execution.streaming_attempt = ident
-            self._cancel_others(execution, attempt, now)
+            self._cancel_other_attempts(execution, attempt, now)
         if execution.streaming_attempt == ident:
             execution.delivered_chunks.append(event.data)
-            self.subscribers.tell(
+            self.subscribers.notify(
                 execution, model.Chunk(event.seq, event.data), now
             )
 
     def on_alive(self, event: model.StageHeartbeat, now: float) -> None:
-        """Note that a runner is still at work on an attempt."""
-        found = self._find(event.attempt)
+        """Note that a runner still works on an attempt."""
+        found = self._find_attempt(event.attempt)
         if found is not None:
             found[1].last_progress_at = now
 
     def on_end(self, event: model.StageEnd, now: float) -> None:
-        """Accept a stage result if it is whole."""
-        found = self._match(event)
+        """Accept a stage result if it is complete."""
+        found = self._match_attempt(event)
         if found is None:
             return
         execution, attempt = found
         if not execution.is_result_complete(attempt, event):
-            self.out.append(_effects.Count('reply.truncated'))
-            self._break_off(execution, attempt, 'result not whole', now)
+            self.effects.append(_effects.Count('reply.truncated'))
+            self._abort_attempt(execution, attempt, 'result not whole', now)
             return
         del execution.open_attempts[str(attempt.ident)]
         self.accounting.on_result(execution, attempt, event, now)
-        self._cancel_others(execution, attempt, now)
+        self._cancel_other_attempts(execution, attempt, now)
         self._finish_stage(execution, attempt, now)
-        self.pump(attempt.state.runner.service, now)
+        self.dispatch_queued(attempt.state.runner.service, now)
 
-    def _cancel_others(
+    def _cancel_other_attempts(
         self,
         execution: _execution.Execution,
         keep: _execution.Attempt,
@@ -312,23 +316,23 @@
     ) -> None:
         for attempt in list(execution.open_attempts.values()):
             if attempt is not keep:
-                self._cancel(execution, attempt, now)
+                self._cancel_attempt(execution, attempt, now)
 
-    def _cancel(
+    def _cancel_attempt(
         self,
         execution: _execution.Execution,
         attempt: _execution.Attempt,
         now: float,
     ) -> None:
-        """Give up an attempt without blame, and count its cost as waste."""
+        """Cancel an attempt without counting a failure; record its cost."""
         del execution.open_attempts[str(attempt.ident)]
         state = attempt.state
         state.on_cancel()
         if attempt.is_probe:
             self.accounting.on_probe_end(attempt, False, 0.0, now)
-        self.accounting.on_waste(execution, attempt, now)
-        self.out.append(model.CancelCall(attempt.ident))
-        self.pump(state.runner.service, now)
+        self.accounting.on_wasted_attempt(execution, attempt, now)
+        self.effects.append(model.CancelCall(attempt.ident))
+        self.dispatch_queued(state.runner.service, now)
 
     def _finish_stage(
         self,
@@ -341,14 +345,14 @@
             execution.side_effect_done = True
         if execution.is_last_stage:
             if not execution.streams_chunks:
-                self._deliver_whole(execution, attempt.chunks, now)
+                self._deliver_result(execution, attempt.chunks, now)
             self.finish(execution, model.Outcome.COMPLETED, '', now)
             return
         execution.stage_input = ''.join(attempt.chunks)
         execution.stage_index += 1
         self.start_stage(execution, now)
 
-    def _deliver_whole(
+    def _deliver_result(
         self,
         execution: _execution.Execution,
         chunks: list[str],
@@ -356,32 +360,34 @@
     ) -> None:
         for seq, data in enumerate(chunks):
             execution.delivered_chunks.append(data)
-            self.subscribers.tell(execution, model.Chunk(seq, data), now)
+            self.subscribers.notify(execution, model.Chunk(seq, data), now)
 
-    def _break_off(
+    def _abort_attempt(
         self,
         execution: _execution.Execution,
         attempt: _execution.Attempt,
         detail: str,
         now: float,
     ) -> None:
-        """Cancel an attempt whose reply is damaged and treat it as failed."""
-        self.out.append(model.CancelCall(attempt.ident))
+        """Cancel an attempt whose reply is invalid and count it as failed."""
+        self.effects.append(model.CancelCall(attempt.ident))
         failure = model.CallFailure.PROTOCOL
-        self._fail(execution, attempt, failure, detail, now)
+        self._fail_attempt(execution, attempt, failure, detail, now)
 
     def on_failed(self, event: model.StageFailed, now: float) -> None:
-        """Take the failure of an attempt."""
-        found = self._find(event.attempt)
+        """Handle the failure of an attempt."""
+        found = self._find_attempt(event.attempt)
         if found is None:
-            self.out.append(_effects.Count('reply.late'))
+            self.effects.append(_effects.Count('reply.late'))
             return
         execution, attempt = found
         if event.report is not None:
             attempt.state.on_report(event.report, now)
-        self._fail(execution, attempt, event.failure, event.detail, now)
+        self._fail_attempt(
+            execution, attempt, event.failure, event.detail, now
+        )
 
-    def _fail(
+    def _fail_attempt(
         self,
         execution: _execution.Execution,
         attempt: _execution.Attempt,
@@ -394,28 +400,30 @@
             execution.streaming_attempt = ''
         state = attempt.state
         service = execution.service
-        self.out.append(_effects.Count(f'failure.{service.name}.{failure}'))
-        if self._blames_connection(attempt, failure):
+        self.effects.append(
+            _effects.Count(f'failure.{service.name}.{failure}')
+        )
+        if self._suspects_connection(attempt, failure):
             state.on_cancel()
             execution.reconnect_runner = state.runner.name
         else:
             state.on_failure(failure, now)
             execution.failed_runners.add(state.runner.name)
-            self.accounting.judge(state, now)
+            self.accounting.eject_if_outlier(state, now)
         if attempt.is_probe:
             self.accounting.on_probe_end(attempt, False, 0.0, now)
         if failure not in model.NOT_RUN_FAILURES:
-            self.accounting.on_waste(execution, attempt, now)
+            self.accounting.on_wasted_attempt(execution, attempt, now)
         elif not service.idempotent:
             execution.in_doubt = False
         if not execution.open_attempts:
             self._retry_or_end(execution, failure, detail, now)
-        self.pump(service.name, now)
+        self.dispatch_queued(service.name, now)
 
-    def _blames_connection(
+    def _suspects_connection(
         self, attempt: _execution.Attempt, failure: model.CallFailure
     ) -> bool:
-        """Tell whether a new connection is to be tried first."""
+        """Tell whether a retry over a fresh connection should come first."""
         suspect = failure in (
             model.CallFailure.LOST,
             model.CallFailure.SILENT,
@@ -438,7 +446,7 @@
             outcome = execution.failure_outcome()
             self.finish(execution, outcome, f'{reason}; {obstacle}', now)
             return
-        self._decide(
+        self._log_new_decision(
             execution,
             _effects.DecisionKind.RETRY,
             'retry',
@@ -446,9 +454,9 @@
             execution.reconnect_runner,
             reason,
         )
-        self.out.append(_effects.Count(f'retry.{name}'))
+        self.effects.append(_effects.Count(f'retry.{name}'))
         execution.phase = _execution.Phase.QUEUED
-        self._requeue(execution, now)
+        self._enqueue(execution, now)
 
     def _retry_obstacle(
         self,
@@ -456,7 +464,7 @@
         failure: model.CallFailure,
         now: float,
     ) -> str:
-        """Return why a stage may not be tried again, empty if it may."""
+        """Return why a stage may not be retried, empty if it may."""
         service = execution.service
         if execution.in_doubt:
             return 'it may have run and may not be repeated'
@@ -468,9 +476,9 @@
             and estimate.probability < policy.MIN_PROBABILITY
         ):
             return 'too little time is left'
-        # Neither has put any load on a runner, so that trying another one
-        # adds none.
-        if failure in FREE_RETRIES:
+        # These failures put no load on a runner, so a retry does not
+        # amplify load either.
+        if failure in BUDGET_EXEMPT_FAILURES:
             return ''
         if not self.dispatcher.retry_budget(service.name).take():
             return 'the retry budget is used up'
@@ -479,8 +487,8 @@
     def on_timer(
         self, kind: _timers.TimerKind, key: str, ident: str, now: float
     ) -> None:
-        """Act on one timer."""
-        if kind == _timers.TimerKind.FORGET:
+        """Handle a due timer; ident is empty or names an attempt."""
+        if kind == _timers.TimerKind.RETENTION:
             self.executions.pop(key, None)
             return
         execution = self.active.get(key)
@@ -508,12 +516,12 @@
     ) -> None:
         due = attempt.last_progress_at + PROGRESS_TIMEOUT_S
         if now < due:
-            self._timer(due, _timers.TimerKind.PROGRESS, attempt)
+            self._add_timer(due, _timers.TimerKind.PROGRESS, attempt)
             return
-        self.out.append(model.CancelCall(attempt.ident))
+        self.effects.append(model.CancelCall(attempt.ident))
         failure = model.CallFailure.SILENT
         detail = f'no sign for {PROGRESS_TIMEOUT_S:.1f} s'
-        self._fail(execution, attempt, failure, detail, now)
+        self._fail_attempt(execution, attempt, failure, detail, now)
 
     def _hedge(
         self,
@@ -532,7 +540,7 @@
             return
         chosen = choice.state.runner.name
         kind = _effects.DecisionKind.HEDGE
-        self._decide(execution, kind, 'slow-attempt', now, chosen)
+        self._log_new_decision(execution, kind, 'slow-attempt', now, chosen)
         self._dispatch(execution, choice, now, is_hedge=True)
 
     def finish(
@@ -543,17 +551,17 @@
         now: float,
         retry_after_s: float | None = None,
     ) -> None:
-        """End a request and tell its callers at once."""
+        """End a request, cancel its attempts and notify its callers."""
         self.active.pop(execution.key, None)
         for attempt in list(execution.open_attempts.values()):
-            self._cancel(execution, attempt, now)
+            self._cancel_attempt(execution, attempt, now)
         if execution.phase == _execution.Phase.QUEUED:
             workspace = execution.request.workspace
             queue = self.dispatcher.queue(execution.service.name)
             queue.remove(execution.key, workspace)
         execution.phase = _execution.Phase.ENDED
         kind = _effects.DecisionKind.OUTCOME
-        self._decide(execution, kind, outcome, now, detail=reason)
+        self._log_new_decision(execution, kind, outcome, now, detail=reason)
         execution.end = model.End(
             execution.key,
             outcome,
@@ -562,7 +570,9 @@
             reason,
             retry_after_s,
         )
-        self.subscribers.tell(execution, execution.end, now)
+        self.subscribers.notify(execution, execution.end, now)
         self.accounting.on_outcome(execution, outcome, now)
-        forget_at = now + RESUME_RETENTION_S
-        self.timers.add(forget_at, _timers.TimerKind.FORGET, execution.key)
+        retained_until = now + ENDED_RETENTION_S
+        self.timers.add(
+            retained_until, _timers.TimerKind.RETENTION, execution.key
+        )
--- a/libs/ragwort_node/ragwort_node/_relays.py
+++ b/libs/ragwort_node/ragwort_node/_relays.py
@@ -30,10 +30,10 @@
 class RelayTable:
     """Follow remote streams on behalf of local subscribers."""
 
-    def __init__(self, host: str, out: list[_effects.Effect]) -> None:
+    def __init__(self, host: str, effects: list[_effects.Effect]) -> None:
         """Collect effects in out."""
         self.host = host
-        self.out = out
+        self.effects = effects
         self.relays: dict[str, Relay] = {}
         self.count = 0
 
@@ -70,7 +70,9 @@
         message = model.Follow(
             relay.key, relay.token, relay.next_seq, relay.body_digest
         )
-        self.out.append(model.SendPeerMessage(relay.address, message, fresh))
+        self.effects.append(
+            model.SendPeerMessage(relay.address, message, fresh)
+        )
 
     def on_event(self, message: model.FollowEvent, now: float) -> None:
         """Pass an event on if it is the next one of its stream."""
@@ -97,7 +99,7 @@
                 self._ask(relay, False)
                 return
             del self.relays[relay.token]
-        self.out.append(model.AnswerCaller(relay.subscriber, event))
+        self.effects.append(model.AnswerCaller(relay.subscriber, event))
 
     def tick(self, now: float, live: frozenset[str]) -> None:
         """Ask again after silence; end streams whose host is gone."""
@@ -119,7 +121,7 @@
         end = model.End(
             relay.key, model.Outcome.UNKNOWN, relay.next_seq, '', reason
         )
-        self.out.append(model.AnswerCaller(relay.subscriber, end))
+        self.effects.append(model.AnswerCaller(relay.subscriber, end))
 
     def detach(self, subscriber: str) -> None:
         """Forget the relays of a subscriber that is gone."""
--- a/libs/ragwort_node/ragwort_node/_subscribers.py
+++ b/libs/ragwort_node/ragwort_node/_subscribers.py
@@ -1,4 +1,4 @@
-"""Callers that follow a request, and what they are told."""
+"""Callers that follow a request, and the events sent to them."""
 
 from collections.abc import Iterable
 
@@ -10,11 +10,11 @@
 
 
 class Subscribers:
-    """Tell callers of their requests; out collects the effects."""
+    """Send the events of requests to their callers, as effects."""
 
-    def __init__(self, out: list[_effects.Effect]) -> None:
-        """Start with the first heartbeat due at once."""
-        self.out = out
+    def __init__(self, effects: list[_effects.Effect]) -> None:
+        """Append to effects; the first heartbeat is due at once."""
+        self.effects = effects
         self.next_heartbeat = 0.0
 
     def attach(
@@ -24,14 +24,14 @@
         from_seq: int,
         host: str,
     ) -> None:
-        """Send a subscriber all chunks from from_seq on, then what comes."""
+        """Replay the chunks from from_seq on, then send later events."""
         accepted = model.Accepted(execution.key, host)
-        self.out.append(model.AnswerCaller(subscriber, accepted))
+        self.effects.append(model.AnswerCaller(subscriber, accepted))
         for seq in range(from_seq, len(execution.delivered_chunks)):
             chunk = model.Chunk(seq, execution.delivered_chunks[seq])
-            self.out.append(model.AnswerCaller(subscriber, chunk))
+            self.effects.append(model.AnswerCaller(subscriber, chunk))
         if execution.end is not None:
-            self.out.append(model.AnswerCaller(subscriber, execution.end))
+            self.effects.append(model.AnswerCaller(subscriber, execution.end))
         else:
             execution.subscribers[subscriber] = from_seq
 
@@ -40,28 +40,28 @@
         executions: Iterable[_execution.Execution],
         subscriber: str,
     ) -> None:
-        """Forget a subscriber; its request goes on for a resumption."""
+        """Remove a subscriber; its request runs on so it can be resumed."""
         for execution in executions:
             execution.subscribers.pop(subscriber, None)
 
-    def tell(
+    def notify(
         self,
         execution: _execution.Execution,
         event: model.CallerEvent,
         now: float,
     ) -> None:
-        """Send an event to all callers that follow a request."""
+        """Send an event to all subscribers of a request."""
         execution.last_event_at = now
         for subscriber in execution.subscribers:
-            self.out.append(model.AnswerCaller(subscriber, event))
+            self.effects.append(model.AnswerCaller(subscriber, event))
 
-    def heartbeats(
+    def send_heartbeats(
         self, executions: Iterable[_execution.Execution], now: float
     ) -> None:
-        """Send a heartbeat to every caller that heard nothing lately."""
+        """Send a heartbeat for requests without a recent event."""
         if now < self.next_heartbeat:
             return
         self.next_heartbeat = now + HEARTBEAT_S
         for execution in executions:
             if now - execution.last_event_at >= HEARTBEAT_S:
-                self.tell(execution, model.Heartbeat(), now)
+                self.notify(execution, model.Heartbeat(), now)
--- a/libs/ragwort_node/ragwort_node/_timers.py
+++ b/libs/ragwort_node/ragwort_node/_timers.py
@@ -1,4 +1,4 @@
-"""Timers of a node core."""
+"""Timers of a node's requests and attempts."""
 
 import enum
 import heapq
@@ -6,16 +6,16 @@
 
 
 class TimerKind(enum.IntEnum):
-    """What is due."""
+    """Kind of a timer: what is done when it is due."""
 
     DEADLINE = 0
     PROGRESS = 1
     HEDGE = 2
-    FORGET = 3
+    RETENTION = 3
 
 
 class Timers:
-    """Heap of due times; owners drop timers that no longer matter."""
+    """Heap of timers; outdated ones are not cancelled but ignored when due."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -25,16 +25,16 @@
     def add(
         self, due: float, kind: TimerKind, key: str, attempt: str = ''
     ) -> None:
-        """Add a timer for a request and, where it applies, an attempt."""
+        """Add a timer for a request or one of its attempts."""
         entry = (due, next(self.counter), kind, key, attempt)
         heapq.heappush(self.heap, entry)
 
     def next_due(self) -> float | None:
-        """Return when the earliest timer is due."""
+        """Return the due time of the earliest timer, None if there is none."""
         return self.heap[0][0] if self.heap else None
 
     def pop_due(self, now: float) -> tuple[TimerKind, str, str] | None:
-        """Take out one timer that is due."""
+        """Remove and return one due timer, None if there is none."""
         if not self.heap or self.heap[0][0] > now:
             return None
         _, _, kind, key, attempt = heapq.heappop(self.heap)
