--- a/libs/ragwort_node/ragwort_node/_admission.py
+++ b/libs/ragwort_node/ragwort_node/_admission.py
@@ -136,7 +136,7 @@
         estimate.has_enough_samples
         and estimate.probability < policy.MIN_PROBABILITY
     ):
-        wait_s = dispatcher.total_wait_s(execution, now)
+        wait_s = dispatcher.total_queue_wait_s(execution, now)
         return Refusal(
             _effects.RefusalKind.TOO_LATE,
             f'it would take {estimate.mean_s:.2f} s of the '
--- a/libs/ragwort_node/ragwort_node/_core.py
+++ b/libs/ragwort_node/ragwort_node/_core.py
@@ -141,7 +141,7 @@
             return []
         if event.report is not None:
             self._note_sign(event.runner, event.report, now)
-            known = self.dispatcher.states.get(event.runner)
+            known = self.dispatcher.runner_states.get(event.runner)
             if known is not None:
                 known.on_report(event.report, now)
         keeper = self.keepers.get(runner.service)
@@ -173,7 +173,7 @@
             self.effects.append(decision)
         adopted = self.control.take_adopted()
         if adopted:
-            self.dispatcher.forget_removed()
+            self.dispatcher.drop_removed_runners()
         for item in adopted[:MAX_LOGGED_OBJECTS]:
             name = item.name.removeprefix(state.CONFIG_PREFIX)
             problem = self.control.catalog.problems.get(name)
@@ -625,5 +625,5 @@
         draining = self.control.catalog.draining_runners
         return [
             _status.runner_status(known, name in draining, now)
-            for name, known in sorted(self.dispatcher.states.items())
+            for name, known in sorted(self.dispatcher.runner_states.items())
         ]
--- a/libs/ragwort_node/ragwort_node/_dispatcher.py
+++ b/libs/ragwort_node/ragwort_node/_dispatcher.py
@@ -1,7 +1,7 @@
-"""Queues and runner choice for stage calls.
+"""Queues of stage calls and the choice of their runners.
 
-The dispatcher decides which waiting call goes next and to which runner;
-it knows nothing of callers, claims or results.
+The dispatcher decides which queued call is sent next and to which runner;
+callers, claims and results are handled elsewhere.
 """
 
 import dataclasses
@@ -19,17 +19,21 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Subset:
-    """Runners of one service in use, and what they were chosen from."""
+class _CachedSubset:
+    """Subset of a service's runners and when it was chosen.
+
+    generation holds the versions of the configuration and of the member
+    list that the subset was chosen from.
+    """
 
     states: list[policy.RunnerState]
     generation: tuple[int, int]
-    at: float
+    chosen_at: float
 
 
 @dataclasses.dataclass(slots=True)
-class Choice:
-    """A runner chosen for a call."""
+class RunnerChoice:
+    """A runner chosen for a call, and the decision to log."""
 
     state: policy.RunnerState
     decision: _effects.Decision
@@ -37,7 +41,7 @@
 
 
 class Dispatcher:
-    """Queues by service, and the state of the runners behind them."""
+    """Queues by service, and the state of their runners."""
 
     def __init__(
         self,
@@ -51,13 +55,13 @@
         self.rng = rng
         self.strategy = policy.find_strategy(options.strategy)
         self.queues: dict[str, policy.FairQueue] = {}
-        self.states: dict[str, policy.RunnerState] = {}
-        self.subsets: dict[str, _Subset] = {}
+        self.runner_states: dict[str, policy.RunnerState] = {}
+        self.cached_subsets: dict[str, _CachedSubset] = {}
         self.latencies = policy.LatencyModel()
         self.attainment = policy.AttainmentTracker()
-        self.retries: dict[str, policy.Budget] = {}
-        self.hedges: dict[str, policy.Budget] = {}
-        self.turns: dict[str, int] = {}
+        self.retry_budgets: dict[str, policy.Budget] = {}
+        self.hedge_budgets: dict[str, policy.Budget] = {}
+        self.round_robin_turns: dict[str, int] = {}
 
     def queue(self, service: str) -> policy.FairQueue:
         """Return the queue of a service."""
@@ -65,48 +69,54 @@
 
     def retry_budget(self, service: str) -> policy.Budget:
         """Return the retry budget of a service."""
-        return self.retries.setdefault(service, policy.retry_budget())
+        return self.retry_budgets.setdefault(service, policy.retry_budget())
 
     def hedge_budget(self, service: str) -> policy.Budget:
         """Return the hedge budget of a service."""
-        return self.hedges.setdefault(service, policy.hedge_budget())
+        return self.hedge_budgets.setdefault(service, policy.hedge_budget())
 
     def runner_subset(
         self, service: str, now: float
     ) -> list[policy.RunnerState]:
-        """Return the runners of a service that this node uses."""
+        """Return the runners of a service that this node uses.
+
+        A cached subset is chosen again after a change of configuration or
+        members, but at most once per SUBSET_REFRESH_S unless it is empty.
+        """
         catalog = self.control.catalog
         generation = (catalog.generation, self.control.members.version)
-        known = self.subsets.get(service)
-        if known is not None:
-            fresh = now - known.at < SUBSET_REFRESH_S and known.states
-            if known.generation == generation or fresh:
-                return known.states
+        cached = self.cached_subsets.get(service)
+        if cached is not None:
+            is_fresh = (
+                now - cached.chosen_at < SUBSET_REFRESH_S and cached.states
+            )
+            if cached.generation == generation or is_fresh:
+                return cached.states
         runners = catalog.runners_by_service.get(service, {}).values()
         names = [update.name for update in self.control.members.live()]
         chosen = policy.choose_subset(self.options.host.name, names, runners)
-        states = [self._state(runner) for runner in chosen]
-        self.subsets[service] = _Subset(states, generation, now)
+        states = [self._runner_state(runner) for runner in chosen]
+        self.cached_subsets[service] = _CachedSubset(states, generation, now)
         return states
 
-    def _state(self, runner: model.Runner) -> policy.RunnerState:
-        known = self.states.get(runner.name)
-        if known is None or known.runner.address != runner.address:
-            known = policy.RunnerState(runner)
-            self.states[runner.name] = known
-        known.runner = runner
-        return known
+    def _runner_state(self, runner: model.Runner) -> policy.RunnerState:
+        state = self.runner_states.get(runner.name)
+        if state is None or state.runner.address != runner.address:
+            state = policy.RunnerState(runner)
+            self.runner_states[runner.name] = state
+        state.runner = runner
+        return state
 
-    def forget_removed(self) -> None:
-        """Drop the state of runners that are no longer listed."""
-        for name, known in list(self.states.items()):
-            if name not in self.control.catalog.runners and not known.inflight:
-                del self.states[name]
+    def drop_removed_runners(self) -> None:
+        """Drop runners that are not configured and have no open call."""
+        for name, state in list(self.runner_states.items()):
+            if name not in self.control.catalog.runners and not state.inflight:
+                del self.runner_states[name]
 
     def runners_in_service(
         self, service: str, now: float
     ) -> list[policy.RunnerState]:
-        """Return the runners that have not said they are leaving."""
+        """Return the live runners that are neither draining nor standby."""
         catalog = self.control.catalog
         return [
             state
@@ -118,8 +128,8 @@
             and not catalog.is_standby(state.runner)
         ]
 
-    def typical_s(self, service: str, now: float) -> float:
-        """Return the usual busy time of a service's runners."""
+    def typical_busy_s(self, service: str, now: float) -> float:
+        """Return the mean busy time of a service's runners, in seconds."""
         times = [
             s.busy_s for s in self.runner_subset(service, now) if s.results
         ]
@@ -128,17 +138,19 @@
         return sum(times) / len(times)
 
     def queue_wait_s(self, service: str, workspace: str, now: float) -> float:
-        """Return how long a workspace's next call would wait for its turn."""
+        """Return the queue wait of a workspace's next call, in seconds."""
         queue = self.queue(service)
         if not queue.size:
             return 0.0
-        room = sum(int(s.limit) for s in self.runners_in_service(service, now))
-        return queue.work_ahead_s(workspace) / max(room, 1)
+        total_limit = sum(
+            int(s.limit) for s in self.runners_in_service(service, now)
+        )
+        return queue.work_ahead_s(workspace) / max(total_limit, 1)
 
-    def total_wait_s(
+    def total_queue_wait_s(
         self, execution: _execution.Execution, now: float
     ) -> float:
-        """Return how long an execution would wait in all its queues."""
+        """Return the expected wait in all remaining queues, in seconds."""
         workspace = execution.request.workspace
         return sum(
             self.queue_wait_s(service, workspace, now)
@@ -148,18 +160,18 @@
     def estimate(
         self, execution: _execution.Execution, now: float
     ) -> policy.FinishEstimate:
-        """Estimate whether an execution can finish in time."""
+        """Estimate the chance that an execution meets its deadline."""
         return policy.estimate_finish(
             self.latencies,
             execution.class_of_work.name,
             execution.remaining_services,
-            self.total_wait_s(execution, now),
+            self.total_queue_wait_s(execution, now),
             execution.deadline_at - now,
             now,
         )
 
     def enqueue(self, execution: _execution.Execution, now: float) -> None:
-        """Put the current stage of an execution into its queue."""
+        """Queue the current stage of an execution."""
         service = execution.service.name
         estimate = policy.estimate_finish(
             self.latencies,
@@ -184,7 +196,7 @@
         self.queue(service).push(call)
 
     def pop(self, service: str, now: float) -> policy.QueuedCall | None:
-        """Take the next call of a service out of its queue."""
+        """Remove and return the next call of a service."""
         queue = self.queue(service)
         shortfalls = {
             name: self.attainment.shortfall(work.target, name, now)
@@ -197,7 +209,7 @@
         execution: _execution.Execution,
         now: float,
         exclude: frozenset[str] = frozenset(),
-    ) -> Choice | None:
+    ) -> RunnerChoice | None:
         """Choose a runner for the current stage, None if none has room."""
         service = execution.service
         states = [
@@ -207,46 +219,46 @@
         ]
         probe = self._probe_target(execution, states, now)
         if probe is not None:
-            return self._choice(execution, probe, 'probe', now, True)
-        wanted = execution.reconnect_runner
+            return self._choose_directly(execution, probe, 'probe', now, True)
+        reconnect_runner = execution.reconnect_runner
         for state in states:
-            if state.runner.name == wanted:
+            if state.runner.name == reconnect_runner:
                 rule = 'same-runner-new-connection'
-                return self._choice(execution, state, rule, now)
+                return self._choose_directly(execution, state, rule, now)
         usable = [
             state
             for state in states
             if state.has_capacity(now) and not policy.is_ejected(state, now)
         ]
-        untried = [
+        not_failed = [
             state
             for state in usable
             if state.runner.name not in execution.failed_runners
         ]
         if not usable:
             return None
-        context = self._context(execution, now)
-        routed = self.strategy(untried or usable, context)
+        context = self._routing_context(execution, now)
+        routing = self.strategy(not_failed or usable, context)
         decision = _effects.Decision(
             now,
             _effects.DecisionKind.ROUTING,
             execution.key,
-            routed.rule,
-            routed.state.runner.name,
+            routing.rule,
+            routing.state.runner.name,
             f'{service.name} for {execution.class_of_work.name}',
             context.budget_s,
-            routed.candidates,
+            routing.candidates,
         )
-        return Choice(routed.state, decision, False)
+        return RunnerChoice(routing.state, decision, False)
 
-    def _choice(
+    def _choose_directly(
         self,
         execution: _execution.Execution,
         state: policy.RunnerState,
         rule: str,
         now: float,
         is_probe: bool = False,
-    ) -> Choice:
+    ) -> RunnerChoice:
         decision = _effects.Decision(
             now,
             _effects.DecisionKind.ROUTING,
@@ -255,7 +267,7 @@
             state.runner.name,
             f'{execution.service.name} for {execution.class_of_work.name}',
         )
-        return Choice(state, decision, is_probe)
+        return RunnerChoice(state, decision, is_probe)
 
     def _probe_target(
         self,
@@ -263,7 +275,7 @@
         states: list[policy.RunnerState],
         now: float,
     ) -> policy.RunnerState | None:
-        """Return an ejected runner that is due for one trial request."""
+        """Return an ejected runner that is due for a probe."""
         if not execution.service.idempotent or execution.stage_attempt_count:
             return None
         for state in states:
@@ -271,13 +283,13 @@
                 return state
         return None
 
-    def _context(
+    def _routing_context(
         self, execution: _execution.Execution, now: float
     ) -> policy.RoutingContext:
         service = execution.service
         work = execution.class_of_work
-        turn = self.turns.get(service.name, 0)
-        self.turns[service.name] = turn + 1
+        turn = self.round_robin_turns.get(service.name, 0)
+        self.round_robin_turns[service.name] = turn + 1
         affinity = None
         if service.kind == model.ServiceKind.GENERATOR:
             affinity = execution.stage_input[:AFFINITY_PREFIX_CHARS]
@@ -292,7 +304,7 @@
                 execution.deadline_at - now,
                 now,
             ),
-            self.typical_s(service.name, now),
+            self.typical_busy_s(service.name, now),
             self.attainment.may_prefer_cost(work.target, work.name, now),
             affinity,
             turn,
@@ -301,7 +313,7 @@
     def eject_if_outlier(
         self, state: policy.RunnerState, now: float
     ) -> _effects.Decision | None:
-        """Eject a runner if it is worse than its peers."""
+        """Eject a runner if it performs worse than its peers."""
         peers = self.runners_in_service(state.runner.service, now)
         if state not in peers:
             return None
--- a/libs/ragwort_node/ragwort_node/_engine.py
+++ b/libs/ragwort_node/ragwort_node/_engine.py
@@ -103,7 +103,7 @@
     def _dispatch(
         self,
         execution: _execution.Execution,
-        choice: _dispatcher.Choice,
+        choice: _dispatcher.RunnerChoice,
         now: float,
         is_hedge: bool = False,
     ) -> None:
@@ -135,7 +135,7 @@
     def _new_attempt(
         self,
         execution: _execution.Execution,
-        choice: _dispatcher.Choice,
+        choice: _dispatcher.RunnerChoice,
         fresh: bool,
         is_hedge: bool,
         now: float,
