--- a/features/steps/workspace_steps.py
+++ b/features/steps/workspace_steps.py
@@ -67,8 +67,8 @@
     '_execution',
     '_placement',
     '_poller',
-    '_relays',
     '_status',
+    '_stream_follower',
     '_subscribers',
     '_timers',
 )
--- a/libs/ragwort_node/ragwort_node/_core.py
+++ b/libs/ragwort_node/ragwort_node/_core.py
@@ -13,8 +13,8 @@
 from ragwort_node import _options
 from ragwort_node import _placement
 from ragwort_node import _poller
-from ragwort_node import _relays
 from ragwort_node import _status
+from ragwort_node import _stream_follower
 import ragwort_state as state
 import ragwort_wire as wire
 
@@ -50,7 +50,9 @@
         self.engine = _engine.Engine(self.dispatcher, rng, self.effects)
         self.keepers: dict[str, _placement.PlacementKeeper] = {}
         self.poller = _poller.RunnerPoller(self.control, self.name)
-        self.relays = _relays.RelayTable(options.host.name, self.effects)
+        self.stream_follower = _stream_follower.StreamFollower(
+            options.host.name, self.effects
+        )
         self.state = _status.NodeState.STARTING
         self.accept_until = 0.0
         self.next_tick = now
@@ -96,7 +98,7 @@
                 self.engine.active.values(), now
             )
             live = frozenset(u.name for u in self.control.members.live())
-            self.relays.tick(now, live)
+            self.stream_follower.tick(now, live)
             for service in list(self.dispatcher.queues):
                 self.engine.dispatch_queued(service, now)
         return self._flush()
@@ -418,7 +420,7 @@
         del self.engine.executions[execution.key]
         address = self.control.members.members[host].update.peer_address
         for subscriber in execution.subscribers:
-            self.relays.open(
+            self.stream_follower.follow(
                 execution.key,
                 host,
                 address,
@@ -427,7 +429,7 @@
                 execution.request.digest,
                 now,
                 execution.deadline_at,
-                accepted=True,
+                accepted_sent=True,
             )
 
     def follow(
@@ -441,7 +443,7 @@
                 execution, subscriber, from_seq, self.name
             )
         elif host != self.name and members.is_alive(host):
-            self.relays.open(
+            self.stream_follower.follow(
                 key,
                 host,
                 members.members[host].update.peer_address,
@@ -450,7 +452,7 @@
                 '',
                 now,
                 now + RESUME_FOLLOW_S,
-                accepted=False,
+                accepted_sent=False,
             )
         else:
             refuse = _effects.RefuseCaller(
@@ -465,7 +467,7 @@
     def detach(self, subscriber: str) -> list[_effects.Effect]:
         """Note that a caller's connection is gone."""
         self.engine.subscribers.detach(self.engine.active.values(), subscriber)
-        self.relays.detach(subscriber)
+        self.stream_follower.detach(subscriber)
         return self._flush()
 
     def on_runner(
@@ -520,7 +522,7 @@
             case model.Follow():
                 self._on_follow(sender, message)
             case model.FollowEvent():
-                self.relays.on_event(message, now)
+                self.stream_follower.on_event(message, now)
             case _:
                 effects = self.control.on_peer(sender, message, now, wall)
                 self._run_control(effects, now)
@@ -570,7 +572,7 @@
         return (
             self.state == _status.NodeState.REFUSING
             and not self.engine.active
-            and not self.relays.relays
+            and not self.stream_follower.streams
         )
 
     def leave(self, now: float, wall: float) -> list[_effects.Effect]:
