--- a/libs/ragwort_node/ragwort_node/_admission.py
+++ b/libs/ragwort_node/ragwort_node/_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is taken at all."""
+"""Admission control: whether a request is accepted or refused."""
 
 import dataclasses
 
@@ -10,14 +10,14 @@
 from ragwort_node import _options
 import ragwort_policy as policy
 
-BUSY_RETRY_S = 1.0
-OUTAGE_RETRY_S = 2.0
+BUSY_RETRY_AFTER_S = 1.0
+OUTAGE_RETRY_AFTER_S = 2.0
 MAX_KEY_LEAD_S = 30.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a request is refused, and when to come back."""
+    """Why a request is refused, and after how long to retry."""
 
     kind: _effects.RefusalKind
     detail: str
@@ -25,41 +25,45 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Plan:
-    """Class of work and services that a request asks for."""
+class RequestPlan:
+    """Class of work of a request, and the services of its pipeline."""
 
     class_of_work: model.ClassOfWork
     services: tuple[model.Service, ...]
 
     @property
     def needs_claim(self) -> bool:
-        """Tell whether any stage may not be repeated."""
+        """Tell whether any stage is non-idempotent."""
         return any(not service.idempotent for service in self.services)
 
 
-def find_plan(
+def resolve_plan(
     control: _control.ControlPlane, request: model.Request
-) -> Plan | Refusal:
-    """Look up what a request names in the configuration in force."""
+) -> RequestPlan | Refusal:
+    """Look up the names in a request in the configuration in force."""
     catalog = control.catalog
     work = catalog.classes.get(request.class_of_work)
     if work is None:
-        return _unknown(f'class of work {request.class_of_work!r}')
+        return _unknown_name(f'class of work {request.class_of_work!r}')
     if request.workspace not in catalog.workspaces:
-        return _unknown(f'workspace {request.workspace!r}')
+        return _unknown_name(f'workspace {request.workspace!r}')
     pipeline = catalog.pipelines.get(work.pipeline)
     if pipeline is None:
-        return _unknown(f'pipeline {work.pipeline!r} of class {work.name!r}')
+        return _unknown_name(
+            f'pipeline {work.pipeline!r} of class {work.name!r}'
+        )
     services: list[model.Service] = []
     for name in pipeline.stages:
         service = catalog.services.get(name)
         if service is None:
-            return _unknown(f'service {name!r} of pipeline {pipeline.name!r}')
+            return _unknown_name(
+                f'service {name!r} of pipeline {pipeline.name!r}'
+            )
         services.append(service)
-    return Plan(work, tuple(services))
+    return RequestPlan(work, tuple(services))
 
 
-def _unknown(what: str) -> Refusal:
+def _unknown_name(what: str) -> Refusal:
     return Refusal(
         _effects.RefusalKind.UNKNOWN_NAME, f'{what} is not configured'
     )
@@ -68,7 +72,7 @@
 def check_key(
     options: _options.NodeOptions, key: str, wall: float
 ) -> Refusal | None:
-    """Refuse a key whose claim could no longer, or not yet, be checked."""
+    """Refuse a key outside the time for which claims can be checked."""
     age_s = wall - model.request_key_time(key)
     if age_s > options.claim_retention_s:
         return Refusal(
@@ -87,10 +91,10 @@
 def check_claimable(
     control: _control.ControlPlane,
     options: _options.NodeOptions,
-    plan: Plan,
+    plan: RequestPlan,
     now: float,
 ) -> Refusal | None:
-    """Refuse non-idempotent work that cannot be claimed safely now."""
+    """Refuse non-idempotent work while it cannot be claimed safely."""
     if not plan.needs_claim:
         return None
     offset_s = control.members.clock_offset()
@@ -98,14 +102,14 @@
         return Refusal(
             _effects.RefusalKind.CLOCK_SKEW,
             f'this node\'s clock is {-offset_s:+.1f} s off its peers\'',
-            BUSY_RETRY_S,
+            BUSY_RETRY_AFTER_S,
         )
     if control.ledger.is_store_unavailable(now):
         return Refusal(
             _effects.RefusalKind.STORE_DOWN,
             'the platform\'s store does not answer; work that may not be '
             'repeated waits until it does',
-            OUTAGE_RETRY_S,
+            OUTAGE_RETRY_AFTER_S,
         )
     return None
 
@@ -117,20 +121,20 @@
     open_requests: int,
     now: float,
 ) -> Refusal | None:
-    """Refuse what would only be queued to miss its deadline."""
+    """Refuse work over the queue limits or bound to miss its deadline."""
     overloaded = _effects.RefusalKind.OVERLOADED
     if open_requests >= options.max_open_requests:
         detail = f'{open_requests} requests are open on this node'
-        return Refusal(overloaded, detail, BUSY_RETRY_S)
+        return Refusal(overloaded, detail, BUSY_RETRY_AFTER_S)
     first = execution.service.name
     queued = dispatcher.queue(first).queued(execution.request.workspace)
     if queued >= options.max_queued_per_workspace:
         detail = f'{queued} requests of this workspace wait already'
-        return Refusal(overloaded, detail, BUSY_RETRY_S)
+        return Refusal(overloaded, detail, BUSY_RETRY_AFTER_S)
     for service in execution.services:
         if not dispatcher.runners_in_service(service.name, now):
             detail = f'no runner of service {service.name!r} is in service'
-            return Refusal(overloaded, detail, BUSY_RETRY_S)
+            return Refusal(overloaded, detail, BUSY_RETRY_AFTER_S)
     estimate = dispatcher.estimate(execution, now)
     if (
         estimate.has_enough_samples
@@ -141,6 +145,6 @@
             _effects.RefusalKind.TOO_LATE,
             f'it would take {estimate.mean_s:.2f} s of the '
             f'{execution.deadline_at - now:.2f} s allowed',
-            max(wait_s, BUSY_RETRY_S),
+            max(wait_s, BUSY_RETRY_AFTER_S),
         )
     return None
--- a/libs/ragwort_node/ragwort_node/_control.py
+++ b/libs/ragwort_node/ragwort_node/_control.py
@@ -17,7 +17,7 @@
 
 
 class ControlPlane:
-    """What a node shares with its peers and keeps in the store."""
+    """Membership, replicated configuration and claims of a node."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         now: float,
         wall: float,
     ) -> None:
-        """Start alone, with no configuration."""
+        """Start with the seeds as only peers and without configuration."""
         self.options = options
         self.members = membership.Membership(
             options.host, options.seeds, rng, now, wall
@@ -47,7 +47,7 @@
         return self.replica.catalog
 
     def tick(self, now: float, wall: float) -> list[ControlEffect]:
-        """Return everything that is due now."""
+        """Run the periodic work and return its effects."""
         effects: list[ControlEffect] = []
         effects += self.members.tick(now, wall)
         effects += self.gossip.tick(now, self.members.peer_addresses())
@@ -69,8 +69,8 @@
     def _is_janitor(self) -> bool:
         return membership.is_elected(self.members, JANITOR_ROLE, 1, None)
 
-    def learn(self, objects: list[model.StoredObject], now: float) -> None:
-        """Adopt objects that this node learned first and spread them."""
+    def publish(self, objects: list[model.StoredObject], now: float) -> None:
+        """Adopt objects that originate at this node and gossip them."""
         adopted = self.replica.merge(objects, now)
         self._spread(adopted)
 
@@ -89,7 +89,7 @@
     def on_store_result(
         self, result: model.StoreResult, now: float
     ) -> list[ControlEffect]:
-        """Hand a store result to whoever made the call."""
+        """Pass a store result to the component that made the call."""
         if result.op in (state.LIST_OP, state.WATCH_OP):
             self._spread(self.watcher.on_store_result(result, now))
             return []
@@ -102,7 +102,7 @@
     def on_peer(
         self, sender: str, message: model.PeerMessage, now: float, wall: float
     ) -> list[ControlEffect]:
-        """Hand a peer's message to whoever it is for."""
+        """Pass a peer's message to the component that handles it."""
         members = self.members
         match message:
             case model.Ping():
@@ -133,7 +133,7 @@
     def begin_claim(
         self, claim: model.Claim, now: float, expires_at: float
     ) -> list[ControlEffect]:
-        """Start a claim through its shard's owner."""
+        """Start a claim through the owner of its shard."""
         shard = state.shard_of(claim.workspace, claim.key)
         owner = membership.owner_address(self.members, f'shard/{shard}')
         return list(self.ledger.claim(claim, owner, now, expires_at))
--- a/libs/ragwort_node/ragwort_node/_core.py
+++ b/libs/ragwort_node/ragwort_node/_core.py
@@ -1,4 +1,4 @@
-"""The node as a plain object: events and the time in, effects out."""
+"""The node as a sans-I/O object: events and the time in, effects out."""
 
 import random
 
@@ -19,16 +19,16 @@
 import ragwort_wire as wire
 
 CLAIM_TIMEOUT_S = 3.0
-STORE_RETRY_S = 2.0
-RESUME_FOLLOW_S = 60.0
+STORE_RETRY_AFTER_S = 2.0
+RESUMED_STREAM_LIFETIME_S = 60.0
 DRAIN_MARGIN_S = 2.0
 PLACEMENT_TICK_S = 0.5
-PEER_SUBSCRIBER = 'peer|'
+PEER_SUBSCRIBER_PREFIX = 'peer|'
 MAX_LOGGED_OBJECTS = 20
 
 
 class NodeCore:
-    """One node without sockets, clocks or logs.
+    """State machine of a node, without sockets, clocks or logs.
 
     Every method that takes an event returns the effects to carry out.
     now is monotonic time and wall the time of day, both in seconds.
@@ -41,14 +41,16 @@
         now: float,
         wall: float,
     ) -> None:
-        """Create a node that knows nothing yet."""
+        """Create a starting node without configuration or peers."""
         self.options = options
         self.rng = rng
         self.effects: list[_effects.Effect] = []
         self.control = _control.ControlPlane(options, rng, now, wall)
         self.dispatcher = _dispatcher.Dispatcher(options, self.control, rng)
         self.engine = _engine.Engine(self.dispatcher, rng, self.effects)
-        self.keepers: dict[str, _placement.PlacementKeeper] = {}
+        self.placement_controllers: dict[
+            str, _placement.PlacementController
+        ] = {}
         self.poller = _poller.RunnerPoller(self.control, self.name)
         self.stream_follower = _stream_follower.StreamFollower(
             options.host.name, self.effects
@@ -63,28 +65,28 @@
         """Return the node's name."""
         return self.options.host.name
 
-    def _flush(self) -> list[_effects.Effect]:
-        effects = [self._localise(effect) for effect in self.effects]
+    def _take_effects(self) -> list[_effects.Effect]:
+        effects = [self._address_to_peer(effect) for effect in self.effects]
         self.effects.clear()
         return effects
 
-    def _localise(self, effect: _effects.Effect) -> _effects.Effect:
-        """Turn answers for a following peer into messages to it."""
+    def _address_to_peer(self, effect: _effects.Effect) -> _effects.Effect:
+        """Turn an answer for a following peer into a message to it."""
         if not isinstance(effect, model.AnswerCaller):
             return effect
-        if not effect.subscriber.startswith(PEER_SUBSCRIBER):
+        if not effect.subscriber.startswith(PEER_SUBSCRIBER_PREFIX):
             return effect
         _, address, token = effect.subscriber.split('|', 2)
         event = wire.encode_event(effect.event).decode()
         return model.SendPeerMessage(address, model.FollowEvent(token, event))
 
     def next_due(self) -> float:
-        """Return when tick must be called next."""
+        """Return the monotonic time at which tick is due next."""
         due = self.engine.timers.next_due()
         return self.next_tick if due is None else min(due, self.next_tick)
 
     def tick(self, now: float, wall: float) -> list[_effects.Effect]:
-        """Do what is due."""
+        """Handle due timers and run the periodic work."""
         while (timer := self.engine.timers.pop_due(now)) is not None:
             self.engine.on_timer(*timer, now)
         if now >= self.next_tick:
@@ -92,7 +94,7 @@
             self._run_control(self.control.tick(now, wall), now)
             self.effects += self.poller.tick(now)
             self._tick_placement(now, wall)
-            self._note_changes(now)
+            self._on_changes(now)
             self._update_state(now)
             self.engine.subscribers.send_heartbeats(
                 self.engine.active.values(), now
@@ -101,28 +103,30 @@
             self.stream_follower.tick(now, live)
             for service in list(self.dispatcher.queues):
                 self.engine.dispatch_queued(service, now)
-        return self._flush()
+        return self._take_effects()
 
     def _tick_placement(self, now: float, wall: float) -> None:
-        """Look after the placement of the services assigned to this node."""
+        """Run the placement controllers of all services."""
         if self.state == _status.NodeState.STARTING:
             return
         if now < self.next_placement:
             return
         self.next_placement = now + PLACEMENT_TICK_S
         for service in self.control.catalog.services:
-            keeper = self.keepers.get(service)
-            if keeper is None:
-                keeper = _placement.PlacementKeeper(
+            controller = self.placement_controllers.get(service)
+            if controller is None:
+                controller = _placement.PlacementController(
                     service, self.name, self.control.replica, self.rng
                 )
-                self.keepers[service] = keeper
+                self.placement_controllers[service] = controller
             role = f'placement/{service}'
-            wanted = membership.is_elected(self.control.members, role, 1, None)
-            shortfall = self._shortfall(service, now) if wanted else 0.0
-            self.effects += keeper.tick(now, wall, wanted, shortfall)
+            elected = membership.is_elected(
+                self.control.members, role, 1, None
+            )
+            shortfall = self._max_shortfall(service, now) if elected else 0.0
+            self.effects += controller.tick(now, wall, elected, shortfall)
 
-    def _shortfall(self, service: str, now: float) -> float:
+    def _max_shortfall(self, service: str, now: float) -> float:
         """Return the largest shortfall of the classes that use a service."""
         catalog = self.control.catalog
         tracker = self.dispatcher.attainment
@@ -137,19 +141,19 @@
     def on_load(
         self, event: model.LoadResult, now: float
     ) -> list[_effects.Effect]:
-        """Take a load report that was asked for."""
+        """Handle the end of a load read."""
         runner = self.control.catalog.runners.get(event.runner)
         if runner is None:
             return []
         if event.report is not None:
-            self._note_sign(event.runner, event.report, now)
-            known = self.dispatcher.runner_states.get(event.runner)
-            if known is not None:
-                known.on_report(event.report, now)
-        keeper = self.keepers.get(runner.service)
-        if keeper is not None:
-            keeper.on_load(event, now)
-        return self._flush()
+            self._note_draining(event.runner, event.report, now)
+            runner_state = self.dispatcher.runner_states.get(event.runner)
+            if runner_state is not None:
+                runner_state.on_report(event.report, now)
+        controller = self.placement_controllers.get(runner.service)
+        if controller is not None:
+            controller.on_load(event, now)
+        return self._take_effects()
 
     def _run_control(
         self, effects: list[_control.ControlEffect], now: float
@@ -160,8 +164,8 @@
             else:
                 self.effects.append(effect)
 
-    def _note_changes(self, now: float) -> None:
-        """Log what members and configuration have become."""
+    def _on_changes(self, now: float) -> None:
+        """Log changes of members and configuration; drop removed runners."""
         for change in self.control.members.take_changes():
             update = change.update
             decision = _effects.Decision(
@@ -176,15 +180,17 @@
         adopted = self.control.take_adopted()
         if adopted:
             self.dispatcher.drop_removed_runners()
-        for item in adopted[:MAX_LOGGED_OBJECTS]:
-            name = item.name.removeprefix(state.CONFIG_PREFIX)
+        for stored in adopted[:MAX_LOGGED_OBJECTS]:
+            name = stored.name.removeprefix(state.CONFIG_PREFIX)
             problem = self.control.catalog.problems.get(name)
             decision = _effects.Decision(
                 now,
                 _effects.DecisionKind.CONFIGURATION,
-                item.name,
+                stored.name,
                 'kept-last-valid' if problem else 'in-force',
-                detail=problem.text if problem else f'version {item.version}',
+                detail=problem.text
+                if problem
+                else f'version {stored.version}',
             )
             self.effects.append(decision)
 
@@ -217,33 +223,33 @@
     def submit(
         self, request: model.Request, subscriber: str, now: float, wall: float
     ) -> list[_effects.Effect]:
-        """Take or refuse a request of a caller."""
-        known = self.engine.executions.get(request.key)
-        if known is not None:
-            self._rejoin(known, request, subscriber)
-            return self._flush()
+        """Admit or refuse a request of a caller."""
+        execution = self.engine.executions.get(request.key)
+        if execution is not None:
+            self._attach_repeated(execution, request, subscriber)
+            return self._take_effects()
         refusal = self._try_admit(request, subscriber, now, wall)
         if refusal is not None:
             self._refuse(request.key, subscriber, refusal, now)
-        return self._flush()
+        return self._take_effects()
 
-    def _rejoin(
+    def _attach_repeated(
         self,
-        known: _execution.Execution,
+        execution: _execution.Execution,
         request: model.Request,
         subscriber: str,
     ) -> None:
-        """Let a repeated submission follow the request it repeats."""
-        if known.request.digest == request.digest:
-            self.engine.subscribers.attach(known, subscriber, 0, self.name)
+        """Attach a repeated submission to the request that it repeats."""
+        if execution.request.digest == request.digest:
+            self.engine.subscribers.attach(execution, subscriber, 0, self.name)
             return
-        refuse = _effects.RefuseCaller(
+        effect = _effects.RefuseCaller(
             subscriber,
             request.key,
             _effects.RefusalKind.KEY_REUSED,
             'the key was used with another body; take a new key',
         )
-        self.effects.append(refuse)
+        self.effects.append(effect)
 
     def _try_admit(
         self, request: model.Request, subscriber: str, now: float, wall: float
@@ -251,7 +257,7 @@
         refusal = self._check_state()
         if refusal is not None:
             return refusal
-        plan = _admission.find_plan(self.control, request)
+        plan = _admission.resolve_plan(self.control, request)
         if isinstance(plan, _admission.Refusal):
             return plan
         refusal = _admission.check_key(
@@ -287,7 +293,7 @@
             return _admission.Refusal(
                 _effects.RefusalKind.NOT_READY,
                 self.not_ready() or 'starting',
-                _admission.BUSY_RETRY_S,
+                _admission.BUSY_RETRY_AFTER_S,
             )
         if self.state == _status.NodeState.REFUSING:
             return _admission.Refusal(
@@ -300,7 +306,7 @@
     def _admit(
         self,
         execution: _execution.Execution,
-        plan: _admission.Plan,
+        plan: _admission.RequestPlan,
         subscriber: str,
         now: float,
     ) -> None:
@@ -349,19 +355,19 @@
         )
         self.effects.append(decision)
         self.effects.append(_effects.Count(f'refused.{refusal.kind}'))
-        refuse = _effects.RefuseCaller(
+        effect = _effects.RefuseCaller(
             subscriber,
             key,
             refusal.kind,
             refusal.detail,
             refusal.retry_after_s,
         )
-        self.effects.append(refuse)
+        self.effects.append(effect)
 
     def _on_claim_resolved(
         self, resolved: state.ClaimResolved, now: float
     ) -> None:
-        """Go on, or not, once a claim is settled."""
+        """Start, end or hand off a request once its claim is resolved."""
         execution = self.engine.active.get(resolved.claim.key)
         if execution is None:
             return
@@ -386,18 +392,18 @@
                     model.Outcome.NOT_RUN,
                     'the store did not confirm the claim in time',
                     now,
-                    STORE_RETRY_S,
+                    STORE_RETRY_AFTER_S,
                 )
             case model.ClaimStatus.TAKEN:
-                self._on_taken(execution, resolved.standing, now)
+                self._on_claim_taken(execution, resolved.standing, now)
 
-    def _on_taken(
+    def _on_claim_taken(
         self,
         execution: _execution.Execution,
         standing: model.Claim | None,
         now: float,
     ) -> None:
-        """Follow the request that holds the claim, if it can be found."""
+        """Follow the request that holds the claim if its host is alive."""
         assert standing is not None
         if standing.body_digest != execution.request.digest:
             reason = 'the key was used with another body; take a new key'
@@ -410,12 +416,12 @@
             outcome = model.Outcome.UNKNOWN
             self.engine.finish(execution, outcome, reason, now)
             return
-        self._hand_over(execution, standing.host, now)
+        self._follow_claim_holder(execution, standing.host, now)
 
-    def _hand_over(
+    def _follow_claim_holder(
         self, execution: _execution.Execution, host: str, now: float
     ) -> None:
-        """Let the callers of a never dispatched request follow host."""
+        """Drop an undispatched request and let its callers follow host."""
         del self.engine.active[execution.key]
         del self.engine.executions[execution.key]
         address = self.control.members.members[host].update.peer_address
@@ -435,7 +441,7 @@
     def follow(
         self, key: str, host: str, from_seq: int, subscriber: str, now: float
     ) -> list[_effects.Effect]:
-        """Resume an answer stream that host was said to run."""
+        """Resume an answer stream that runs here or on the given host."""
         execution = self.engine.executions.get(key)
         members = self.control.members
         if execution is not None:
@@ -451,24 +457,24 @@
                 from_seq,
                 '',
                 now,
-                now + RESUME_FOLLOW_S,
+                now + RESUMED_STREAM_LIFETIME_S,
                 accepted_sent=False,
             )
         else:
-            refuse = _effects.RefuseCaller(
+            effect = _effects.RefuseCaller(
                 subscriber,
                 key,
                 _effects.RefusalKind.UNKNOWN_KEY,
                 f'no stream of this key here, nor a live host {host!r}',
             )
-            self.effects.append(refuse)
-        return self._flush()
+            self.effects.append(effect)
+        return self._take_effects()
 
     def detach(self, subscriber: str) -> list[_effects.Effect]:
-        """Note that a caller's connection is gone."""
+        """Remove a subscriber whose connection is closed."""
         self.engine.subscribers.detach(self.engine.active.values(), subscriber)
         self.stream_follower.detach(subscriber)
-        return self._flush()
+        return self._take_effects()
 
     def on_runner(
         self,
@@ -478,46 +484,46 @@
         | model.StageFailed,
         now: float,
     ) -> list[_effects.Effect]:
-        """Take an event of a stage call."""
+        """Handle an event of a stage call."""
         match event:
             case model.StageChunk():
                 self.engine.on_chunk(event, now)
             case model.StageHeartbeat():
                 self.engine.on_alive(event, now)
             case model.StageEnd():
-                self._note_reply(event.attempt, event.report, now)
+                self._note_call_report(event.attempt, event.report, now)
                 self.engine.on_end(event, now)
             case model.StageFailed():
                 if event.report is not None:
-                    self._note_reply(event.attempt, event.report, now)
+                    self._note_call_report(event.attempt, event.report, now)
                 self.engine.on_failed(event, now)
-        return self._flush()
+        return self._take_effects()
 
-    def _note_reply(
+    def _note_call_report(
         self, ident: model.AttemptId, report: model.LoadReport, now: float
     ) -> None:
-        """Take the report that came with the reply to a call."""
+        """Handle the load report that came with the reply to a call."""
         execution = self.engine.active.get(ident.request_key)
         attempt = execution and execution.open_attempts.get(str(ident))
         if attempt:
-            self._note_sign(attempt.state.runner.name, report, now)
+            self._note_draining(attempt.state.runner.name, report, now)
 
-    def _note_sign(
+    def _note_draining(
         self, runner: str, report: model.LoadReport, now: float
     ) -> None:
-        """Take a runner's own word on whether it is leaving."""
-        self.poller.on_heard(runner, now)
-        known = runner in self.control.catalog.draining_runners
-        if known != report.draining:
+        """Publish a runner's draining state if it has changed."""
+        self.poller.on_contact(runner, now)
+        was_draining = runner in self.control.catalog.draining_runners
+        if was_draining != report.draining:
             sign = state.drain_status_object(
                 runner, report.draining, report.state_version
             )
-            self.control.learn([sign], now)
+            self.control.publish([sign], now)
 
     def on_peer(
         self, sender: str, message: model.PeerMessage, now: float, wall: float
     ) -> list[_effects.Effect]:
-        """Take a message of another node, whose peer address is sender."""
+        """Handle a message of another node; sender is its peer address."""
         match message:
             case model.Follow():
                 self._on_follow(sender, message)
@@ -526,10 +532,10 @@
             case _:
                 effects = self.control.on_peer(sender, message, now, wall)
                 self._run_control(effects, now)
-        return self._flush()
+        return self._take_effects()
 
     def _on_follow(self, sender: str, message: model.Follow) -> None:
-        subscriber = f'{PEER_SUBSCRIBER}{sender}|{message.token}'
+        subscriber = f'{PEER_SUBSCRIBER_PREFIX}{sender}|{message.token}'
         execution = self.engine.executions.get(message.key)
         if execution is not None:
             seq = max(0, message.from_seq)
@@ -544,17 +550,19 @@
     def on_store(
         self, result: model.StoreResult, now: float
     ) -> list[_effects.Effect]:
-        """Take the end of a store call."""
-        service = _placement.service_of(result.op)
+        """Handle the result of a store call."""
+        service = _placement.service_of_op(result.op)
         if service is not None:
-            if service in self.keepers:
-                self.keepers[service].result(result, now)
-            return self._flush()
+            if service in self.placement_controllers:
+                self.placement_controllers[service].on_store_result(
+                    result, now
+                )
+            return self._take_effects()
         self._run_control(self.control.on_store_result(result, now), now)
-        return self._flush()
+        return self._take_effects()
 
     def begin_drain(self, now: float, wall: float) -> list[_effects.Effect]:
-        """Stop being listed; go on accepting while old answers are in use."""
+        """Leave the address lists; accept until cached lists expire."""
         if self.state in (
             _status.NodeState.DRAINING,
             _status.NodeState.REFUSING,
@@ -565,10 +573,10 @@
         self.control.members.set_accepting(False, now)
         self.effects += self.control.members.announce(wall)
         self._log_state(now, 'leaving')
-        return self._flush()
+        return self._take_effects()
 
     def is_drained(self) -> bool:
-        """Tell whether nothing is left to finish."""
+        """Tell whether all requests and followed streams have ended."""
         return (
             self.state == _status.NodeState.REFUSING
             and not self.engine.active
@@ -576,25 +584,25 @@
         )
 
     def leave(self, now: float, wall: float) -> list[_effects.Effect]:
-        """Tell the other nodes that this one is gone."""
+        """Tell the other nodes that this one leaves."""
         self.effects += self.control.members.leave(now, wall)
-        return self._flush()
+        return self._take_effects()
 
     def addresses(
         self, failure_domain: str, caller: str
     ) -> list[model.MemberUpdate]:
-        """Return the entry addresses for a caller, best first."""
+        """Return the entry addresses for a caller, in order of preference."""
         return membership.entry_members(
             self.control.members, failure_domain, caller
         )
 
     def explain(self, key: str) -> list[_effects.Decision] | None:
-        """Return the decisions on a request, None if it is not known."""
+        """Return the decisions on a request, None if its key is unknown."""
         execution = self.engine.executions.get(key)
         return None if execution is None else list(execution.decisions)
 
     def status(self, now: float) -> _status.NodeStatus:
-        """Return what this node reports of itself."""
+        """Return the status of this node."""
         catalog = self.control.catalog
         adopted_at = self.control.replica.adopted_at
         prefix = state.CONFIG_PREFIX
@@ -626,6 +634,8 @@
     def _runner_statuses(self, now: float) -> list[_status.RunnerStatus]:
         draining = self.control.catalog.draining_runners
         return [
-            _status.runner_status(known, name in draining, now)
-            for name, known in sorted(self.dispatcher.runner_states.items())
+            _status.runner_status(runner_state, name in draining, now)
+            for name, runner_state in sorted(
+                self.dispatcher.runner_states.items()
+            )
         ]
--- a/libs/ragwort_node/ragwort_node/_options.py
+++ b/libs/ragwort_node/ragwort_node/_options.py
@@ -1,4 +1,4 @@
-"""Options of a node core, free of files and units."""
+"""Options of a node core, independent of the settings file."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeOptions:
-    """Who a node is and the bounds it keeps; times in seconds."""
+    """Identity and limits of a node; times in seconds."""
 
     host: model.EntryHost
     seeds: tuple[str, ...] = ()
@@ -20,7 +20,7 @@
 
 
 def options_from_settings(settings: model.NodeSettings) -> NodeOptions:
-    """Return the options that a settings file asks for."""
+    """Return the options given by a settings file."""
     host = model.EntryHost(
         settings.name,
         settings.callers,
--- a/libs/ragwort_node/ragwort_node/_placement.py
+++ b/libs/ragwort_node/ragwort_node/_placement.py
@@ -1,8 +1,8 @@
-"""Keeping runners loaded or parked, under a lease per service.
+"""Placement: which runners are loaded or on standby, by leased controllers.
 
-The record of what is parked is a configuration object, so that every
-node stops using a runner before it is unloaded. Orders state what is
-wanted, not steps, and are repeated until the runner's report shows it.
+The list of standby runners is a configuration object, so that every node
+stops using a runner before it is unloaded. Orders state the wanted state,
+not a step towards it, and are repeated until the runner reports it.
 """
 
 import json
@@ -13,9 +13,9 @@
 import ragwort_policy as policy
 import ragwort_state as state
 
-POLL_S = 2.0
-SETTLE_S = 12.0
-REPORT_MAX_POLLS = 2.5
+MIN_POLL_INTERVAL_S = 2.0
+SETTLE_DELAY_S = 12.0
+REPORT_MAX_AGE_POLLS = 2.5
 MAX_POLLS_PER_S = 10.0
 PLACEMENT_OP = 'placement:'
 
@@ -24,8 +24,8 @@
 )
 
 
-class PlacementKeeper:
-    """Placement of one service, while this node holds its lease."""
+class PlacementController:
+    """Control the placement of one service while its lease is held."""
 
     def __init__(
         self,
@@ -42,30 +42,30 @@
         self.reports: dict[str, tuple[model.LoadReport, float]] = {}
         self.recalling: set[str] = set()
         self.next_poll = 0.0
-        self.poll_interval_s = POLL_S
-        self.open_op: str | None = None
-        self.operations = 0
+        self.poll_interval_s = MIN_POLL_INTERVAL_S
+        self.pending_op: str | None = None
+        self.operation_count = 0
 
     @property
     def object_name(self) -> str:
-        """Return the name of the placement object."""
+        """Return the name of the stored placement object."""
         return f'{state.CONFIG_PREFIX}placement/{self.service}'
 
-    def runners(self) -> list[model.Runner]:
+    def live_runners(self) -> list[model.Runner]:
         """Return the live runners of the service, sorted by name."""
-        known = self.replica.catalog.runners_by_service.get(self.service, {})
+        runners = self.replica.catalog.runners_by_service.get(self.service, {})
         return [
-            known[name]
-            for name in sorted(known)
-            if known[name].state == model.HostState.LIVE
+            runners[name]
+            for name in sorted(runners)
+            if runners[name].state == model.HostState.LIVE
         ]
 
     def tick(
-        self, now: float, wall: float, wanted: bool, shortfall: float
+        self, now: float, wall: float, elected: bool, shortfall: float
     ) -> list[PlacementEffect]:
-        """Renew the lease and, while it holds, look after the runners."""
+        """Renew the lease; while it is held, poll and place the runners."""
         effects: list[PlacementEffect] = []
-        effects += self.lease.tick(now, wanted)
+        effects += self.lease.tick(now, elected)
         if not self.lease.may_order(now, checks_fencing=True):
             self.reports.clear()
             self.recalling.clear()
@@ -73,55 +73,59 @@
         if now < self.next_poll:
             return effects
         self.poll_interval_s = max(
-            POLL_S, len(self.runners()) / MAX_POLLS_PER_S
+            MIN_POLL_INTERVAL_S, len(self.live_runners()) / MAX_POLLS_PER_S
         )
         self.next_poll = now + self.poll_interval_s
-        effects += self._repair(now, wall)
+        effects += self._reconcile(now, wall)
         effects += self._plan(now, shortfall)
-        effects += [model.ReadLoad(runner) for runner in self.runners()]
+        effects += [model.ReadLoad(runner) for runner in self.live_runners()]
         return effects
 
     def on_load(self, event: model.LoadResult, now: float) -> None:
-        """Take a runner's report."""
+        """Store a runner's report; drop the old one if it did not answer."""
         if event.report is None:
             self.reports.pop(event.runner, None)
         else:
             self.reports[event.runner] = (event.report, now)
 
-    def _report(self, name: str, now: float) -> model.LoadReport | None:
+    def _recent_report(self, name: str, now: float) -> model.LoadReport | None:
         found = self.reports.get(name)
-        max_age_s = REPORT_MAX_POLLS * self.poll_interval_s
+        max_age_s = REPORT_MAX_AGE_POLLS * self.poll_interval_s
         if found is None or now - found[1] > max_age_s:
             return None
         return found[0]
 
-    def _repair(self, now: float, wall: float) -> list[PlacementEffect]:
-        """Order what differs between the wanted and the reported state."""
+    def _reconcile(self, now: float, wall: float) -> list[PlacementEffect]:
+        """Order the runners to change whose state is not the wanted one."""
         effects: list[PlacementEffect] = []
         standby = self.replica.catalog.standby.get(self.service, frozenset())
-        for runner in self.runners():
-            report = self._report(runner.name, now)
+        for runner in self.live_runners():
+            report = self._recent_report(runner.name, now)
             if report is None:
                 continue
-            parked = runner.name in standby
-            wanted = not parked or runner.name in self.recalling
-            if wanted and not report.loaded:
-                effects += self._order(
+            is_standby = runner.name in standby
+            should_load = not is_standby or runner.name in self.recalling
+            if should_load and not report.loaded:
+                effects += self._send_order(
                     runner, model.DesiredState.LOADED, now, wall
                 )
-            elif not wanted and report.loaded and self._is_idle(report, now):
-                effects += self._order(
+            elif (
+                not should_load
+                and report.loaded
+                and self._may_unload(report, now)
+            ):
+                effects += self._send_order(
                     runner, model.DesiredState.UNLOADED, now, wall
                 )
         return effects
 
-    def _is_idle(self, report: model.LoadReport, now: float) -> bool:
-        """Tell whether all nodes have had time to stop using a runner."""
+    def _may_unload(self, report: model.LoadReport, now: float) -> bool:
+        """Tell whether a runner is idle and all nodes could drop it."""
         adopted_at = self.replica.adopted_at.get(self.object_name, now)
-        settled = now - adopted_at >= SETTLE_S
+        settled = now - adopted_at >= SETTLE_DELAY_S
         return settled and not report.running and not report.queued
 
-    def _order(
+    def _send_order(
         self,
         runner: model.Runner,
         wanted: model.DesiredState,
@@ -145,12 +149,12 @@
     def _plan(self, now: float, shortfall: float) -> list[PlacementEffect]:
         standby = self.replica.catalog.standby.get(self.service, frozenset())
         loads: list[policy.RunnerLoad] = []
-        for runner in self.runners():
-            report = self._report(runner.name, now)
+        for runner in self.live_runners():
+            report = self._recent_report(runner.name, now)
             if report is None or report.draining:
                 continue
             if runner.name in self.recalling and report.loaded:
-                return self._write(standby - {runner.name}, now)
+                return self._write_standby(standby - {runner.name}, now)
             loads.append(
                 policy.RunnerLoad(
                     runner.name,
@@ -167,7 +171,7 @@
         decision = policy.plan_placement(loads, shortfall, self.history, now)
         if decision is None:
             return []
-        logged = _effects.Decision(
+        log_entry = _effects.Decision(
             now,
             _effects.DecisionKind.PLACEMENT,
             self.service,
@@ -177,19 +181,24 @@
         )
         if decision.step == policy.PlacementStep.RECALL:
             self.recalling.add(decision.runner)
-            return [logged]
-        return [logged, *self._write(standby | {decision.runner}, now)]
+            return [log_entry]
+        return [
+            log_entry,
+            *self._write_standby(standby | {decision.runner}, now),
+        ]
 
-    def _write(
+    def _write_standby(
         self, standby: frozenset[str], now: float
     ) -> list[PlacementEffect]:
-        """Record what is parked, on top of the version last seen."""
-        if self.open_op is not None:
+        """Write the standby list, conditional on the version last seen."""
+        if self.pending_op is not None:
             return []
-        self.operations += 1
-        self.open_op = f'{PLACEMENT_OP}{self.service}#{self.operations}'
-        known = self.replica.objects.get(self.object_name)
-        exists = known is not None and known.value is not None
+        self.operation_count += 1
+        self.pending_op = (
+            f'{PLACEMENT_OP}{self.service}#{self.operation_count}'
+        )
+        stored = self.replica.objects.get(self.object_name)
+        exists = stored is not None and stored.value is not None
         content = {
             'name': self.service,
             'standby': sorted(standby),
@@ -202,15 +211,15 @@
                 model.StoreVerb.PUT,
                 self.object_name,
                 json.dumps(content, sort_keys=True),
-                known.version if known is not None and exists else 0,
+                stored.version if stored is not None and exists else 0,
             )
         ]
 
-    def result(self, result: model.StoreResult, now: float) -> None:
-        """Take the end of a lease or placement call.
+    def on_store_result(self, result: model.StoreResult, now: float) -> None:
+        """Handle the result of a lease or placement call.
 
-        Whatever a placement write came to, the object is seen again
-        through the watch, and the next round goes on from there.
+        The outcome of a placement write is ignored: the watch delivers the
+        object as stored, and the next poll starts from there.
         """
         if result.op == self.open_op:
             self.open_op = None
@@ -218,8 +227,8 @@
             self.lease.on_store_result(result, now)
 
 
-def service_of(op: str) -> str | None:
-    """Return the service that a store call of a keeper is for."""
+def service_of_op(op: str) -> str | None:
+    """Return the service of a placement controller's store call."""
     for prefix in (PLACEMENT_OP, state.LEASE_OP):
         if op.startswith(prefix):
             return op.removeprefix(prefix).partition('#')[0]
--- a/libs/ragwort_node/ragwort_node/_poller.py
+++ b/libs/ragwort_node/ragwort_node/_poller.py
@@ -1,8 +1,8 @@
-"""Asking idle runners for their load, so that leaving ones are noticed.
+"""Polling of idle runners for their load, to notice draining ones.
 
-Each runner is watched by the node that owns it on a consistent-hash ring
-with several points per node; a call's reply counts as an answer, too.
-What a node learns of a leaving runner goes to the others by gossip.
+Each runner is polled by the node that owns it on a consistent-hash ring
+with several points per node; the reply to a call counts as a poll, too.
+The news of a draining runner reaches the other nodes by gossip.
 """
 
 import bisect
@@ -15,35 +15,38 @@
 
 
 class RunnerPoller:
-    """Decide which runners this node asks, and when."""
+    """Decide which runners this node polls, and when."""
 
     def __init__(self, control: _control.ControlPlane, host: str) -> None:
-        """Start with nothing heard."""
+        """Start without assigned runners."""
         self.control = control
         self.host = host
-        self.heard_at: dict[str, float] = {}
+        self.last_contact_at: dict[str, float] = {}
         self.assigned: list[str] = []
         self.generation = (-1, -1)
 
-    def on_heard(self, runner: str, now: float) -> None:
-        """Note that a runner has just reported its state."""
-        if runner in self.heard_at:
-            self.heard_at[runner] = now
+    def on_contact(self, runner: str, now: float) -> None:
+        """Note that an assigned runner has just reported its state."""
+        if runner in self.last_contact_at:
+            self.last_contact_at[runner] = now
 
     def tick(self, now: float) -> list[model.ReadLoad]:
-        """Return the runners to ask now."""
-        self._refresh()
+        """Return the reads of the runners that are due."""
+        self._reassign()
         runners = self.control.catalog.runners
         due: list[model.ReadLoad] = []
         for name in self.assigned:
-            heard_at = self.heard_at.get(name)
-            if heard_at is None or now - heard_at >= POLL_INTERVAL_S:
-                self.heard_at[name] = now
+            last_contact_at = self.last_contact_at.get(name)
+            if (
+                last_contact_at is None
+                or now - last_contact_at >= POLL_INTERVAL_S
+            ):
+                self.last_contact_at[name] = now
                 due.append(model.ReadLoad(runners[name]))
         return due
 
-    def _refresh(self) -> None:
-        """Assign runners anew once nodes or runners have changed."""
+    def _reassign(self) -> None:
+        """Assign the runners again after nodes or runners have changed."""
         catalog = self.control.catalog
         members = self.control.members
         generation = (catalog.generation, members.version)
@@ -56,18 +59,20 @@
             for name in names
             for point in range(POINTS_PER_NODE)
         )
-        places = [place for place, _ in ring]
+        ring_positions = [position for position, _ in ring]
         self.assigned = [
             runner
             for runner in sorted(catalog.runners)
-            if _owner(ring, places, runner) == self.host
+            if _owner(ring, ring_positions, runner) == self.host
         ]
-        known = set(self.assigned)
-        self.heard_at = {
-            n: at for n, at in self.heard_at.items() if n in known
+        assigned = set(self.assigned)
+        self.last_contact_at = {
+            n: at for n, at in self.last_contact_at.items() if n in assigned
         }
 
 
-def _owner(ring: list[tuple[int, str]], places: list[int], runner: str) -> str:
-    place = model.stable_hash('poll', runner)
-    return ring[bisect.bisect(places, place) % len(ring)][1]
+def _owner(
+    ring: list[tuple[int, str]], ring_positions: list[int], runner: str
+) -> str:
+    position = model.stable_hash('poll', runner)
+    return ring[bisect.bisect(ring_positions, position) % len(ring)][1]
--- a/libs/ragwort_node/ragwort_node/_status.py
+++ b/libs/ragwort_node/ragwort_node/_status.py
@@ -1,4 +1,4 @@
-"""What a node reports of itself."""
+"""Status that a node reports to operators."""
 
 import dataclasses
 import enum
@@ -8,7 +8,7 @@
 
 
 class NodeState(enum.StrEnum):
-    """What a node does with new requests."""
+    """State of a node, which decides what it does with new requests."""
 
     STARTING = 'starting'
     SERVING = 'serving'
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClassStatus:
-    """Attainment and cost of one class of work against its target."""
+    """Attainment and cost of a class of work, beside its target."""
 
     name: str
     target: model.Target
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunnerStatus:
-    """A runner as this node sees it."""
+    """Statistics that this node holds of a runner."""
 
     name: str
     service: str
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeStatus:
-    """What a node reports of itself."""
+    """Status of a node; not_ready is the reason, empty if ready."""
 
     name: str
     state: NodeState
@@ -63,7 +63,7 @@
 def class_status(
     work: model.ClassOfWork, record: policy.ClassRecord
 ) -> ClassStatus:
-    """Return a class of work's record beside its target."""
+    """Return the status of a class of work."""
     return ClassStatus(
         work.name,
         work.target,
@@ -77,16 +77,16 @@
 
 
 def runner_status(
-    known: policy.RunnerState, draining: bool, now: float
+    runner_state: policy.RunnerState, draining: bool, now: float
 ) -> RunnerStatus:
-    """Return what a node knows of a runner."""
+    """Return the status of a runner."""
     return RunnerStatus(
-        known.runner.name,
-        known.runner.service,
-        known.inflight,
-        known.limit,
-        known.busy_s,
-        known.failure_share,
-        policy.is_ejected(known, now),
+        runner_state.runner.name,
+        runner_state.runner.service,
+        runner_state.inflight,
+        runner_state.limit,
+        runner_state.busy_s,
+        runner_state.failure_share,
+        policy.is_ejected(runner_state, now),
         draining,
     )
