--- a/libs/ragwort_node/ragwort_node/__init__.py
+++ b/libs/ragwort_node/ragwort_node/__init__.py
@@ -1,4 +1,4 @@
-"""The node: a pure core and the twisted daemon around it."""
+"""The node: a sans-I/O core and the Twisted daemon that runs it."""
 
 from ragwort_node._caller_http import STATUS_BY_REFUSAL
 from ragwort_node._control import TICK_S
--- a/libs/ragwort_node/ragwort_node/_daemon.py
+++ b/libs/ragwort_node/ragwort_node/_daemon.py
@@ -22,17 +22,17 @@
 import ragwort_peers as peers
 import ragwort_wire as wire
 
-FLUSH_S = 0.002
-METRICS_S = 1.0
-MIN_TIMER_S = 0.001
-FAREWELL_S = 0.2
+FLUSH_DELAY_S = 0.002
+METRICS_INTERVAL_S = 1.0
+MIN_TICK_DELAY_S = 0.001
+LEAVE_FLUSH_S = 0.2
 
 
 class NodeDaemon:
-    """Turn socket events into core events and effects into calls."""
+    """Pass events of sockets to the core and carry out its effects."""
 
     def __init__(self, reactor: Any, settings: model.NodeSettings) -> None:
-        """Create the core and its clients; nothing listens yet."""
+        """Create the core and its clients without listening."""
         self.reactor = reactor
         self.settings = settings
         self.max_body = settings.limits.max_body
@@ -53,11 +53,11 @@
         )
         self.peers = peers.PeerConnections(reactor, settings.peers)
         self.streams: dict[str, _caller_http.CallerStream] = {}
-        self.unflushed: dict[str, _caller_http.CallerStream] = {}
+        self.unflushed_streams: dict[str, _caller_http.CallerStream] = {}
         self.flush_call: Any = None
-        self.timer: Any = None
+        self.tick_call: Any = None
         self.ports: list[Any] = []
-        self.next_metrics = 0.0
+        self.next_metrics_flush = 0.0
         self.stopped: defer.Deferred[None] = defer.Deferred()
 
     def now(self) -> float:
@@ -69,7 +69,7 @@
         return time.time()
 
     def start(self) -> None:
-        """Listen and begin to tick."""
+        """Start to listen and to tick."""
         host, port = model.split_address(self.settings.callers)
         site = _caller_http.caller_site(
             self, self.settings.limits.idle_connection
@@ -79,7 +79,7 @@
         )
         host, port = model.split_address(self.settings.peers)
         factory = peers.IncomingPeerFactory(
-            self._on_frame, self._on_peer_problem
+            self._on_frame, self._on_invalid_frame
         )
         self.ports.append(
             self.reactor.listenTCP(port, factory, interface=host)
@@ -95,7 +95,7 @@
         self.reactor.callFromThread(self.drain)
 
     def drain(self) -> None:
-        """Begin to leave; a second call stops at once."""
+        """Start to drain; a second call stops at once."""
         states = (_status.NodeState.DRAINING, _status.NodeState.REFUSING)
         if self.core.state in states:
             self._stop()
@@ -105,14 +105,14 @@
     def _tick(self) -> None:
         now = self.now()
         self.perform(self.core.tick(now, self.wall()))
-        if now >= self.next_metrics:
-            self.next_metrics = now + METRICS_S
+        if now >= self.next_metrics_flush:
+            self.next_metrics_flush = now + METRICS_INTERVAL_S
             self._flush_metrics(now)
         if self.core.is_drained() and not self.streams:
             self._leave()
             return
-        delay_s = max(self.core.next_due() - self.now(), MIN_TIMER_S)
-        self.timer = self.reactor.callLater(delay_s, self._tick)
+        delay_s = max(self.core.next_due() - self.now(), MIN_TICK_DELAY_S)
+        self.tick_call = self.reactor.callLater(delay_s, self._tick)
 
     def _flush_metrics(self, now: float) -> None:
         self.peers.close_idle(now)
@@ -123,13 +123,13 @@
         self.metrics.flush(gauges)
 
     def _leave(self) -> None:
-        """Say farewell and stop once the messages are out."""
+        """Announce the departure and stop after the messages are sent."""
         self.perform(self.core.leave(self.now(), self.wall()))
-        self.reactor.callLater(FAREWELL_S, self._stop)
+        self.reactor.callLater(LEAVE_FLUSH_S, self._stop)
 
     def _stop(self) -> None:
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
+        if self.tick_call is not None and self.tick_call.active():
+            self.tick_call.cancel()
         for port in self.ports:
             port.stopListening()
         self.ports.clear()
@@ -142,7 +142,7 @@
         for effect in effects:
             match effect:
                 case model.AnswerCaller():
-                    self._answer(effect)
+                    self._deliver_event(effect)
                 case model.CallRunner():
                     self.runners.call(effect)
                 case model.CancelCall():
@@ -166,29 +166,31 @@
                     if stream is not None:
                         stream.refuse(effect)
 
-    def _answer(self, effect: model.AnswerCaller) -> None:
+    def _deliver_event(self, effect: model.AnswerCaller) -> None:
         stream = self.streams.get(effect.subscriber)
         if stream is None:
             return
         stream.on_event(effect.event)
-        self.unflushed[effect.subscriber] = stream
+        self.unflushed_streams[effect.subscriber] = stream
         if self.flush_call is None:
-            # Chunks of many streams within this delay share one write.
-            self.flush_call = self.reactor.callLater(FLUSH_S, self._flush)
+            # Events that a stream gets within this delay share one write.
+            self.flush_call = self.reactor.callLater(
+                FLUSH_DELAY_S, self._flush_streams
+            )
 
-    def _flush(self) -> None:
+    def _flush_streams(self) -> None:
         self.flush_call = None
-        streams = list(self.unflushed.values())
-        self.unflushed.clear()
+        streams = list(self.unflushed_streams.values())
+        self.unflushed_streams.clear()
         for stream in streams:
             stream.flush()
 
     def open_stream(self, stream: _caller_http.CallerStream) -> None:
-        """Begin to hand a subscriber's events to stream."""
+        """Register the stream that receives its subscriber's events."""
         self.streams[stream.subscriber] = stream
 
     def close_stream(self, subscriber: str) -> None:
-        """Forget a subscriber whose answer is over or connection gone."""
+        """Remove a subscriber whose answer has ended or connection closed."""
         if self.streams.pop(subscriber, None) is not None:
             self.perform(self.core.detach(subscriber))
 
@@ -211,6 +213,6 @@
         )
         self.perform(effects)
 
-    def _on_peer_problem(self, detail: str) -> None:
+    def _on_invalid_frame(self, detail: str) -> None:
         self.metrics.count('peer.damaged')
-        self.logger.warning('peer-problem', detail=detail)
+        self.logger.warning('invalid-peer-frame', detail=detail)
--- a/libs/ragwort_node/ragwort_node/_logs.py
+++ b/libs/ragwort_node/ragwort_node/_logs.py
@@ -1,4 +1,4 @@
-"""Structured logs of decisions."""
+"""Structured logging of decisions."""
 
 import dataclasses
 import logging
@@ -12,7 +12,7 @@
 
 
 def configure_logs(console: bool | None = None) -> None:
-    """Write JSON lines to standard error, or console form on a terminal."""
+    """Log to standard error: JSON lines, or console lines on a terminal."""
     if console is None:
         console = sys.stderr.isatty()
     renderer: structlog.types.Processor = (
@@ -36,7 +36,7 @@
     logger: structlog.typing.FilteringBoundLogger,
     decision: _effects.Decision,
 ) -> None:
-    """Write one line for a decision, candidates and estimate included."""
+    """Log a decision with its first candidates and its estimate."""
     fields: dict[str, object] = {
         'subject': decision.subject,
         'rule': decision.rule,
