--- a/libs/ragwort_node/ragwort_node/_caller_http.py
+++ b/libs/ragwort_node/ragwort_node/_caller_http.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers and operators."""
+"""HTTP interface for callers and operators."""
 
 import dataclasses
 import itertools
@@ -46,7 +46,7 @@
 
 
 class NodeService(Protocol):
-    """What the HTTP resources need of the daemon."""
+    """Interface of the daemon that the HTTP resources use."""
 
     core: _core.NodeCore
     max_body: int
@@ -61,10 +61,10 @@
         """Carry out effects."""
 
     def open_stream(self, stream: 'CallerStream') -> None:
-        """Begin to hand a subscriber's events to stream."""
+        """Register the stream that receives its subscriber's events."""
 
     def close_stream(self, subscriber: str) -> None:
-        """Forget a subscriber whose connection is gone."""
+        """Remove a subscriber whose answer has ended or connection closed."""
 
     def count(self, name: str) -> None:
         """Add one to a counter."""
@@ -99,20 +99,20 @@
 
 
 class CallerRequest(server.Request):
-    """A request whose body is bounded while it arrives."""
+    """A request whose body size is checked while it arrives."""
 
     max_body = 1024 * 1024
     received = 0
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Refuse an announced body over the limit."""
+        """Refuse a body whose content-length exceeds the limit."""
         if length is not None and length > self.max_body:
             self._refuse_body()
             return
         super().gotLength(length)
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Refuse a body that grows over the limit."""
+        """Refuse a body once it exceeds the limit."""
         self.received += len(data)
         if self.received > self.max_body:
             self._refuse_body()
@@ -128,70 +128,73 @@
             f'content-type: {wire.PROBLEM_TYPE}\r\n'
             f'content-length: {len(body)}\r\n\r\n'
         )
-        # Content still arriving is dropped with the connection.
+        # Closing the connection discards the rest of the body.
         self.content = None
         self.channel.transport.write(head.encode() + body)
         self.channel.transport.loseConnection()
 
 
 class CallerStream:
-    """One caller's answer, written as records or as a whole."""
+    """A caller's answer, sent as a stream of records or as one document.
+
+    buffered is set if the answer is kept until its end and sent at once.
+    """
 
     counter = itertools.count(1)
 
     def __init__(
-        self, service: NodeService, request: server.Request, whole: bool
+        self, service: NodeService, request: server.Request, buffered: bool
     ) -> None:
         """Bind to an open HTTP request."""
         self.service = service
         self.request = request
-        self.whole = whole
+        self.buffered = buffered
         self.subscriber = f'caller-{next(self.counter)}'
-        self.lines: list[bytes] = []
+        self.unsent_lines: list[bytes] = []
         self.chunks: list[str] = []
         self.started = False
-        self.over = False
+        self.ended = False
         request.notifyFinish().addErrback(self._on_disconnect)
 
     def _on_disconnect(self, reason: failure.Failure) -> None:
         reason.trap(error.ConnectionDone, error.ConnectionLost)
-        if not self.over:
-            self.over = True
+        if not self.ended:
+            self.ended = True
             self.service.count('caller.disconnected')
         self.service.close_stream(self.subscriber)
 
     def on_event(self, event: model.CallerEvent) -> None:
-        """Buffer an event until the next flush."""
-        if self.over:
+        """Store an event until the next flush."""
+        if self.ended:
             return
-        if not self.whole:
-            self.lines.append(wire.encode_event(event))
+        if not self.buffered:
+            self.unsent_lines.append(wire.encode_event(event))
         elif isinstance(event, model.Chunk):
             self.chunks.append(event.data)
         if isinstance(event, model.End):
             self._end(event)
 
     def flush(self) -> None:
-        """Write what was buffered."""
-        if not self.lines or self.over:
+        """Write the events received since the last flush."""
+        if not self.unsent_lines or self.ended:
             return
         if not self.started:
             self.started = True
             kind = wire.STREAM_TYPE.encode()
             self.request.setHeader(b'content-type', kind)
-        self.lines.append(b'')
-        self.request.write(b'\n'.join(self.lines))
-        self.lines.clear()
+        self.unsent_lines.append(b'')
+        self.request.write(b'\n'.join(self.unsent_lines))
+        self.unsent_lines.clear()
 
     def _end(self, end: model.End) -> None:
         self.flush()
-        self.over = True
+        self.ended = True
         self.service.close_stream(self.subscriber)
-        if self.whole:
-            self.request.write(self._whole_answer(end))
+        if self.buffered:
+            self.request.write(self._answer_document(end))
         self.request.finish()
 
-    def _whole_answer(self, end: model.End) -> bytes:
+    def _answer_document(self, end: model.End) -> bytes:
         if end.outcome != model.Outcome.COMPLETED:
             body = problem_body(
                 503, end.reason, end.outcome, end.key, end.retry_after_s
@@ -210,9 +213,9 @@
 
     def refuse(self, effect: _effects.RefuseCaller) -> None:
         """Answer with a problem document instead of a stream."""
-        if self.over:
+        if self.ended:
             return
-        self.over = True
+        self.ended = True
         self.service.close_stream(self.subscriber)
         if effect.retry_after_s is not None:
             seconds = max(1, round(effect.retry_after_s))
@@ -229,18 +232,20 @@
         self.request.finish()
 
 
-def _argument(request: server.Request, name: str, default: str = '') -> str:
+def _query_argument(
+    request: server.Request, name: str, default: str = ''
+) -> str:
     values = request.args.get(name.encode(), [])
     return values[0].decode(errors='replace') if values else default
 
 
-def _wants_whole(request: server.Request) -> bool:
+def _wants_document(request: server.Request) -> bool:
     accept = request.getHeader(b'accept') or b''
     return b'application/json' in accept
 
 
-class _Leaf(resource.Resource):
-    """Base of the resources; marks responses with the directory version."""
+class _NodeResource(resource.Resource):
+    """Base resource; adds the directory version to each response."""
 
     isLeaf = True  # noqa: N815
 
@@ -260,13 +265,15 @@
         return super().render(request)
 
 
-class AddressesResource(_Leaf):
+class AddressesResource(_NodeResource):
     """GET /v1/addresses."""
 
     def render_GET(self, request: server.Request) -> bytes:  # noqa: N802
         """Return entry addresses, the caller's failure domain first."""
-        domain = _argument(request, 'failure_domain')
-        caller = _argument(request, 'caller', request.getClientAddress().host)
+        domain = _query_argument(request, 'failure_domain')
+        caller = _query_argument(
+            request, 'caller', request.getClientAddress().host
+        )
         core = self.service.core
         entries = [
             wire.EntryAddressRecord(m.name, m.caller_address, m.failure_domain)
@@ -281,11 +288,11 @@
         return wire.encode_json(record)
 
 
-class RequestsResource(_Leaf):
+class RequestsResource(_NodeResource):
     """POST /v1/requests, GET /v1/requests/KEY and its explanation."""
 
     def render_POST(self, request: server.Request) -> Any:  # noqa: N802
-        """Take a request and stream its answer."""
+        """Submit a request and send its answer."""
         try:
             parsed = wire.parse_request(request.content.read())
         except model.InvalidInputError as problem:
@@ -293,7 +300,7 @@
             body = problem_body(400, str(problem), model.Outcome.NOT_RUN)
             return send_problem(request, 400, body)
         service = self.service
-        stream = CallerStream(service, request, _wants_whole(request))
+        stream = CallerStream(service, request, _wants_document(request))
         service.open_stream(stream)
         service.perform(
             service.core.submit(
@@ -311,7 +318,7 @@
             body = problem_body(404, 'write /v1/requests/KEY')
             return send_problem(request, 404, body)
         try:
-            from_seq = int(_argument(request, 'from_seq', '0'))
+            from_seq = int(_query_argument(request, 'from_seq', '0'))
         except ValueError:
             from_seq = -1
         if from_seq < 0:
@@ -320,7 +327,7 @@
         service = self.service
         stream = CallerStream(service, request, False)
         service.open_stream(stream)
-        host = _argument(request, 'host', service.core.name)
+        host = _query_argument(request, 'host', service.core.name)
         service.perform(
             service.core.follow(
                 parts[0], host, from_seq, stream.subscriber, service.now()
@@ -337,18 +344,18 @@
         return msgspec.json.encode(decisions)
 
 
-class StatusResource(_Leaf):
+class StatusResource(_NodeResource):
     """GET /v1/status."""
 
     def render_GET(self, request: server.Request) -> bytes:  # noqa: N802
-        """Return what the node reports of itself."""
+        """Return the status of the node."""
         status = self.service.core.status(self.service.now())
         request.setHeader(b'content-type', b'application/json')
         return json.dumps(dataclasses.asdict(status)).encode()
 
 
-class NotFoundResource(_Leaf):
-    """Anything else."""
+class NotFoundResource(_NodeResource):
+    """Any other path."""
 
     def render(self, request: server.Request) -> bytes:
         """Return a problem document."""
@@ -356,8 +363,8 @@
         return send_problem(request, 404, problem_body(404, detail))
 
 
-class _Branch(resource.Resource):
-    """An inner path; what is not under it is a problem document."""
+class _PathResource(resource.Resource):
+    """An inner path; unknown children are answered by 404."""
 
     def __init__(self, service: NodeService) -> None:
         super().__init__()
@@ -368,8 +375,8 @@
 
 
 def _resources(service: NodeService) -> resource.Resource:
-    root = _Branch(service)
-    version = _Branch(service)
+    root = _PathResource(service)
+    version = _PathResource(service)
     root.putChild(b'v1', version)
     version.putChild(b'addresses', AddressesResource(service))
     version.putChild(b'requests', RequestsResource(service))
@@ -382,13 +389,13 @@
     site = server.Site(_resources(service), timeout=idle_s)
     site.noisy = False
     site.displayTracebacks = False
-    limited = type(
+    request_class = type(
         'LimitedRequest', (CallerRequest,), {'max_body': service.max_body}
     )
-    site.requestFactory = limited
+    site.requestFactory = request_class
     site.log = _no_access_log
     return site
 
 
 def _no_access_log(request: http.Request) -> None:
-    """Write no access log: decisions are logged instead."""
+    """Write no access log, since decisions are logged."""
--- a/libs/ragwort_node/ragwort_node/_runner_client.py
+++ b/libs/ragwort_node/ragwort_node/_runner_client.py
@@ -1,4 +1,4 @@
-"""Stage calls over HTTP."""
+"""HTTP client for runners: stage calls, load reads and orders."""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,20 +23,20 @@
 
 
 class _OpenCall:
-    """One call between its request and its end record."""
+    """A stage call that has not ended."""
 
     def __init__(
         self, attempt: model.AttemptId, on_event: Callable[[RunnerEvent], None]
     ) -> None:
         self.attempt = attempt
         self.on_event = on_event
-        self.sent: defer.Deferred[iweb.IResponse] | None = None
+        self.pending_response: defer.Deferred[iweb.IResponse] | None = None
         self.reader: http.LineReader | None = None
-        self.over = False
+        self.ended = False
 
     def fail(self, kind: model.CallFailure, detail: str) -> None:
-        if not self.over:
-            self.over = True
+        if not self.ended:
+            self.ended = True
             self.on_event(model.StageFailed(self.attempt, kind, detail))
 
     def on_response(self, response: iweb.IResponse) -> None:
@@ -47,7 +47,7 @@
         response.deliverBody(self.reader)
 
     def on_line(self, line: bytes) -> None:
-        if self.over:
+        if self.ended:
             return
         try:
             record = wire.decode_result(line)
@@ -55,7 +55,7 @@
             self.fail(model.CallFailure.PROTOCOL, str(error))
             return
         event = wire.to_stage_event(self.attempt, record)
-        self.over = isinstance(event, model.StageFailed) or (
+        self.ended = isinstance(event, model.StageFailed) or (
             isinstance(event, model.StageEnd)
             and event.echoed_attempt == str(self.attempt)
         )
@@ -72,11 +72,11 @@
         self.fail(kind, reason.getErrorMessage() or reason.type.__name__)
 
     def cancel(self) -> None:
-        self.over = True
+        self.ended = True
         if self.reader is not None:
             self.reader.stop()
-        elif self.sent is not None:
-            self.sent.cancel()
+        elif self.pending_response is not None:
+            self.pending_response.cancel()
 
 
 class RunnerClient:
@@ -85,62 +85,68 @@
     def __init__(
         self,
         reactor: Any,
-        connections: http.HttpClient,
+        http_client: http.HttpClient,
         on_event: Callable[[RunnerEvent], None],
         on_load: Callable[[model.LoadResult], None],
     ) -> None:
-        """Report events of all calls to on_event, reports to on_load."""
+        """Pass call events to on_event and load reads to on_load."""
         self.reactor = reactor
-        self.connections = connections
+        self.http_client = http_client
         self.on_load = on_load
         self.on_event = on_event
         self.calls: dict[str, _OpenCall] = {}
 
     def call(self, effect: model.CallRunner) -> None:
-        """Send a call."""
+        """Send a stage call."""
         attempt = effect.call.attempt
-        opened = _OpenCall(attempt, self._take)
-        self.calls[str(attempt)] = opened
+        open_call = _OpenCall(attempt, self._on_call_event)
+        self.calls[str(attempt)] = open_call
         url = f'http://{effect.runner.address}/v1/calls'
         body = wire.encode_call(effect.call)
-        sent = self.connections.request(b'POST', url, body, effect.fresh)
-        opened.sent = sent
-        sent.addCallbacks(opened.on_response, opened.on_error)
+        pending_response = self.http_client.request(
+            b'POST', url, body, effect.fresh
+        )
+        open_call.pending_response = pending_response
+        pending_response.addCallbacks(
+            open_call.on_response, open_call.on_error
+        )
 
-    def _take(self, event: RunnerEvent) -> None:
-        opened = self.calls.get(str(event.attempt))
-        if opened is not None and opened.over:
+    def _on_call_event(self, event: RunnerEvent) -> None:
+        open_call = self.calls.get(str(event.attempt))
+        if open_call is not None and open_call.ended:
             del self.calls[str(event.attempt)]
         self.on_event(event)
 
     def cancel(self, effect: model.CancelCall) -> None:
-        """Close the connection of a call, which tells its runner."""
-        opened = self.calls.pop(str(effect.attempt), None)
-        if opened is not None:
-            opened.cancel()
+        """Close the connection of a call, which cancels it at the runner."""
+        open_call = self.calls.pop(str(effect.attempt), None)
+        if open_call is not None:
+            open_call.cancel()
 
     def read_load(self, effect: model.ReadLoad) -> None:
-        """Ask a runner for its load report."""
+        """Request a runner's load report."""
         name = effect.runner.name
         url = f'http://{effect.runner.address}/v1/load'
-        answered = self._load(url)
-        answered.addTimeout(REPORT_TIMEOUT_S, self.reactor)
-        answered.addErrback(lambda _: None)
-        answered.addCallback(
+        pending_reply = self._fetch_load(url)
+        pending_reply.addTimeout(REPORT_TIMEOUT_S, self.reactor)
+        pending_reply.addErrback(lambda _: None)
+        pending_reply.addCallback(
             lambda report: self.on_load(model.LoadResult(name, report))
         )
 
     @defer.inlineCallbacks
-    def _load(self, url: str) -> Any:
-        response = yield self.connections.request(b'GET', url)
+    def _fetch_load(self, url: str) -> Any:
+        response = yield self.http_client.request(b'GET', url)
         content = yield client.readBody(response)
         return wire.decode_load(content)
 
     def send_order(self, effect: model.SendOrder) -> None:
-        """Send an order; whether it was obeyed is read back."""
+        """Send an order; its effect shows in the runner's next load report."""
         url = f'http://{effect.runner.address}/v1/orders'
         body = wire.encode_order(effect.order)
-        answered = self.connections.request(b'POST', url, body, fresh=True)
-        answered.addCallback(client.readBody)
-        answered.addTimeout(REPORT_TIMEOUT_S, self.reactor)
-        answered.addErrback(lambda _: None)
+        pending_reply = self.http_client.request(
+            b'POST', url, body, fresh=True
+        )
+        pending_reply.addCallback(client.readBody)
+        pending_reply.addTimeout(REPORT_TIMEOUT_S, self.reactor)
+        pending_reply.addErrback(lambda _: None)
--- a/libs/ragwort_node/ragwort_node/_store_client.py
+++ b/libs/ragwort_node/ragwort_node/_store_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's object API over HTTP."""
+"""HTTP client for the platform's object store."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,7 +14,7 @@
 import ragwort_wire as wire
 
 CALL_TIMEOUT_S = 2.0
-WATCH_MARGIN_S = 3.0
+WATCH_TIMEOUT_MARGIN_S = 3.0
 
 
 def store_url(platform: str, call: model.StoreCall) -> str:
@@ -47,39 +47,39 @@
     def __init__(
         self,
         reactor: Any,
-        connections: http.HttpClient,
+        http_client: http.HttpClient,
         platform: str,
         on_result: Callable[[model.StoreResult], None],
     ) -> None:
-        """Report the results of all calls to on_result."""
+        """Pass the results of all calls to on_result."""
         self.reactor = reactor
-        self.connections = connections
+        self.http_client = http_client
         self.platform = platform
         self.on_result = on_result
 
     def call(self, call: model.StoreCall) -> None:
-        """Send a call; it ends as UNAVAILABLE after its time."""
-        writing = call.verb == model.StoreVerb.PUT
-        body = wire.encode_write(call) if writing else None
+        """Send a call; it ends as UNAVAILABLE on an error or a timeout."""
+        is_write = call.verb == model.StoreVerb.PUT
+        body = wire.encode_write(call) if is_write else None
         url = store_url(self.platform, call)
-        answered = self._answer(call, store_method(call), url, body)
+        pending_result = self._send(call, store_method(call), url, body)
         timeout_s = CALL_TIMEOUT_S
         if call.wait_s:
-            timeout_s = call.wait_s + WATCH_MARGIN_S
-        # Cancelling closes the connection, which may be the silent part.
-        answered.addTimeout(timeout_s, self.reactor)
-        answered.addErrback(self._unavailable, call)
-        answered.addCallback(self.on_result)
+            timeout_s = call.wait_s + WATCH_TIMEOUT_MARGIN_S
+        # The timeout also closes the connection, which may be dead itself.
+        pending_result.addTimeout(timeout_s, self.reactor)
+        pending_result.addErrback(self._unavailable, call)
+        pending_result.addCallback(self.on_result)
 
     @defer.inlineCallbacks
-    def _answer(
+    def _send(
         self,
         call: model.StoreCall,
         method: bytes,
         url: str,
         body: bytes | None,
     ) -> Any:
-        response: iweb.IResponse = yield self.connections.request(
+        response: iweb.IResponse = yield self.http_client.request(
             method, url, body
         )
         content: bytes = yield client.readBody(response)
