--- a/libs/ragwort_node/ragwort_node/_accounting.py
+++ b/libs/ragwort_node/ragwort_node/_accounting.py
@@ -97,11 +97,15 @@
         now: float,
     ) -> None:
         """Record the end of a request in the attainment of its class."""
-        work = execution.class_of_work
+        class_of_work = execution.class_of_work
         elapsed_s = now - execution.started_at
         completed = outcome == model.Outcome.COMPLETED
-        in_time = elapsed_s <= work.target.deadline_s
+        in_time = elapsed_s <= class_of_work.target.deadline_s
         attainment = self.dispatcher.attainment
-        attainment.on_end(work.name, completed, in_time, now)
-        self.effects.append(_effects.Count(f'outcome.{work.name}.{outcome}'))
-        self.effects.append(_effects.Timing(f'request.{work.name}', elapsed_s))
+        attainment.on_end(class_of_work.name, completed, in_time, now)
+        self.effects.append(
+            _effects.Count(f'outcome.{class_of_work.name}.{outcome}')
+        )
+        self.effects.append(
+            _effects.Timing(f'request.{class_of_work.name}', elapsed_s)
+        )
--- a/libs/ragwort_node/ragwort_node/_admission.py
+++ b/libs/ragwort_node/ragwort_node/_admission.py
@@ -42,15 +42,16 @@
 ) -> RequestPlan | Refusal:
     """Look up the names in a request in the configuration in force."""
     catalog = control.catalog
-    work = catalog.classes.get(request.class_of_work)
-    if work is None:
+    class_of_work = catalog.classes.get(request.class_of_work)
+    if class_of_work is None:
         return _unknown_name(f'class of work {request.class_of_work!r}')
     if request.workspace not in catalog.workspaces:
         return _unknown_name(f'workspace {request.workspace!r}')
-    pipeline = catalog.pipelines.get(work.pipeline)
+    pipeline = catalog.pipelines.get(class_of_work.pipeline)
     if pipeline is None:
         return _unknown_name(
-            f'pipeline {work.pipeline!r} of class {work.name!r}'
+            f'pipeline {class_of_work.pipeline!r} '
+            f'of class {class_of_work.name!r}'
         )
     services: list[model.Service] = []
     for name in pipeline.stages:
@@ -60,7 +61,7 @@
                 f'service {name!r} of pipeline {pipeline.name!r}'
             )
         services.append(service)
-    return RequestPlan(work, tuple(services))
+    return RequestPlan(class_of_work, tuple(services))
 
 
 def _unknown_name(what: str) -> Refusal:
--- a/libs/ragwort_node/ragwort_node/_control.py
+++ b/libs/ragwort_node/ragwort_node/_control.py
@@ -11,7 +11,7 @@
 WATCHERS_PER_REGION = 2
 WATCHER_ROLE = 'watcher'
 JANITOR_ROLE = 'janitor'
-TOMBSTONE_CHECK_S = 600.0
+TOMBSTONE_CHECK_INTERVAL_S = 600.0
 
 ControlEffect = model.SendPeerMessage | model.StoreCall | state.ClaimResolved
 
@@ -38,7 +38,7 @@
         self.janitor = state.Janitor(
             options.claim_retention_s, options.clock_skew_s
         )
-        self.next_tombstone_check = now + TOMBSTONE_CHECK_S
+        self.next_tombstone_check = now + TOMBSTONE_CHECK_INTERVAL_S
         self.adopted: list[model.StoredObject] = []
 
     @property
@@ -56,7 +56,7 @@
         if self.replica.synced and self._is_janitor():
             effects += self.janitor.tick(wall)
         if now >= self.next_tombstone_check:
-            self.next_tombstone_check = now + TOMBSTONE_CHECK_S
+            self.next_tombstone_check = now + TOMBSTONE_CHECK_INTERVAL_S
             self.replica.drop_old_tombstones(now)
         return effects
 
@@ -72,9 +72,9 @@
     def publish(self, objects: list[model.StoredObject], now: float) -> None:
         """Adopt objects that originate at this node and gossip them."""
         adopted = self.replica.merge(objects, now)
-        self._spread(adopted)
+        self._gossip_adopted(adopted)
 
-    def _spread(self, adopted: list[model.StoredObject]) -> None:
+    def _gossip_adopted(self, adopted: list[model.StoredObject]) -> None:
         self.adopted += adopted
         if len(adopted) <= state.MAX_RUMOURED_OBJECTS:
             self.gossip.add_rumours(
@@ -91,7 +91,7 @@
     ) -> list[ControlEffect]:
         """Pass a store result to the component that made the call."""
         if result.op in (state.LIST_OP, state.WATCH_OP):
-            self._spread(self.watcher.on_store_result(result, now))
+            self._gossip_adopted(self.watcher.on_store_result(result, now))
             return []
         if result.op.startswith(state.LEDGER_OP):
             return list(self.ledger.on_store_result(result, now))
--- a/libs/ragwort_node/ragwort_node/_core.py
+++ b/libs/ragwort_node/ragwort_node/_core.py
@@ -22,7 +22,7 @@
 STORE_RETRY_AFTER_S = 2.0
 RESUMED_STREAM_LIFETIME_S = 60.0
 DRAIN_MARGIN_S = 2.0
-PLACEMENT_TICK_S = 0.5
+PLACEMENT_INTERVAL_S = 0.5
 PEER_SUBSCRIBER_PREFIX = 'peer|'
 MAX_LOGGED_OBJECTS = 20
 
@@ -91,7 +91,7 @@
             self.engine.on_timer(*timer, now)
         if now >= self.next_tick:
             self.next_tick = now + _control.TICK_S
-            self._run_control(self.control.tick(now, wall), now)
+            self._apply_control_effects(self.control.tick(now, wall), now)
             self.effects += self.poller.tick(now)
             self._tick_placement(now, wall)
             self._on_changes(now)
@@ -111,7 +111,7 @@
             return
         if now < self.next_placement:
             return
-        self.next_placement = now + PLACEMENT_TICK_S
+        self.next_placement = now + PLACEMENT_INTERVAL_S
         for service in self.control.catalog.services:
             controller = self.placement_controllers.get(service)
             if controller is None:
@@ -131,10 +131,10 @@
         catalog = self.control.catalog
         tracker = self.dispatcher.attainment
         shortfalls = [
-            tracker.shortfall(work.target, work.name, now)
-            for work in catalog.classes.values()
-            if work.pipeline in catalog.pipelines
-            and service in catalog.pipelines[work.pipeline].stages
+            tracker.shortfall(class_of_work.target, class_of_work.name, now)
+            for class_of_work in catalog.classes.values()
+            if class_of_work.pipeline in catalog.pipelines
+            and service in catalog.pipelines[class_of_work.pipeline].stages
         ]
         return max(shortfalls, default=0.0)
 
@@ -155,7 +155,7 @@
             controller.on_load(event, now)
         return self._take_effects()
 
-    def _run_control(
+    def _apply_control_effects(
         self, effects: list[_control.ControlEffect], now: float
     ) -> None:
         for effect in effects:
@@ -337,7 +337,7 @@
         )
         expires_at = min(execution.deadline_at, now + CLAIM_TIMEOUT_S)
         effects = self.control.begin_claim(claim, now, expires_at)
-        self._run_control(effects, now)
+        self._apply_control_effects(effects, now)
 
     def _refuse(
         self,
@@ -531,7 +531,7 @@
                 self.stream_follower.on_event(message, now)
             case _:
                 effects = self.control.on_peer(sender, message, now, wall)
-                self._run_control(effects, now)
+                self._apply_control_effects(effects, now)
         return self._take_effects()
 
     def _on_follow(self, sender: str, message: model.Follow) -> None:
@@ -558,7 +558,9 @@
                     result, now
                 )
             return self._take_effects()
-        self._run_control(self.control.on_store_result(result, now), now)
+        self._apply_control_effects(
+            self.control.on_store_result(result, now), now
+        )
         return self._take_effects()
 
     def begin_drain(self, now: float, wall: float) -> list[_effects.Effect]:
@@ -627,8 +629,8 @@
         classes = self.control.catalog.classes
         attainment = self.dispatcher.attainment
         return [
-            _status.class_status(work, attainment.record(name, now))
-            for name, work in sorted(classes.items())
+            _status.class_status(class_of_work, attainment.record(name, now))
+            for name, class_of_work in sorted(classes.items())
         ]
 
     def _runner_statuses(self, now: float) -> list[_status.RunnerStatus]:
--- a/libs/ragwort_node/ragwort_node/_dispatcher.py
+++ b/libs/ragwort_node/ragwort_node/_dispatcher.py
@@ -199,8 +199,8 @@
         """Remove and return the next call of a service."""
         queue = self.queue(service)
         shortfalls = {
-            name: self.attainment.shortfall(work.target, name, now)
-            for name, work in self.control.catalog.classes.items()
+            name: self.attainment.shortfall(class_of_work.target, name, now)
+            for name, class_of_work in self.control.catalog.classes.items()
         }
         return queue.pop(shortfalls)
 
@@ -287,7 +287,7 @@
         self, execution: _execution.Execution, now: float
     ) -> policy.RoutingContext:
         service = execution.service
-        work = execution.class_of_work
+        class_of_work = execution.class_of_work
         turn = self.round_robin_turns.get(service.name, 0)
         self.round_robin_turns[service.name] = turn + 1
         affinity = None
@@ -299,13 +299,15 @@
             self.options.host.failure_domain,
             policy.stage_budget_s(
                 self.latencies,
-                work.name,
+                class_of_work.name,
                 execution.remaining_services,
                 execution.deadline_at - now,
                 now,
             ),
             self.typical_busy_s(service.name, now),
-            self.attainment.may_prefer_cost(work.target, work.name, now),
+            self.attainment.may_prefer_cost(
+                class_of_work.target, class_of_work.name, now
+            ),
             affinity,
             turn,
         )
--- a/libs/ragwort_node/ragwort_node/_engine.py
+++ b/libs/ragwort_node/ragwort_node/_engine.py
@@ -193,14 +193,16 @@
         now: float,
     ) -> None:
         """Set a hedge timer if the class of work is below its target."""
-        work = execution.class_of_work
+        class_of_work = execution.class_of_work
         attainment = self.dispatcher.attainment
         if attempt.is_hedge or execution.delivered_chunks:
             return
-        if not attainment.shortfall(work.target, work.name, now):
+        if not attainment.shortfall(
+            class_of_work.target, class_of_work.name, now
+        ):
             return
         histogram = self.dispatcher.latencies.find(
-            execution.service.name, work.name, now
+            execution.service.name, class_of_work.name, now
         )
         if histogram is None:
             return
--- a/libs/ragwort_node/ragwort_node/_placement.py
+++ b/libs/ragwort_node/ragwort_node/_placement.py
@@ -77,7 +77,7 @@
         )
         self.next_poll = now + self.poll_interval_s
         effects += self._reconcile(now, wall)
-        effects += self._plan(now, shortfall)
+        effects += self._plan_placement(now, shortfall)
         effects += [model.ReadLoad(runner) for runner in self.live_runners()]
         return effects
 
@@ -146,7 +146,9 @@
         )
         return [decision, model.SendOrder(runner, order)]
 
-    def _plan(self, now: float, shortfall: float) -> list[PlacementEffect]:
+    def _plan_placement(
+        self, now: float, shortfall: float
+    ) -> list[PlacementEffect]:
         standby = self.replica.catalog.standby.get(self.service, frozenset())
         loads: list[policy.RunnerLoad] = []
         for runner in self.live_runners():
@@ -228,7 +230,7 @@
 
 
 def service_of_op(op: str) -> str | None:
-    """Return the service of a placement controller's store call."""
+    """Return the service of a placement or lease call, None for others."""
     for prefix in (PLACEMENT_OP, state.LEASE_OP):
         if op.startswith(prefix):
             return op.removeprefix(prefix).partition('#')[0]
--- a/libs/ragwort_node/ragwort_node/_runner_client.py
+++ b/libs/ragwort_node/ragwort_node/_runner_client.py
@@ -12,7 +12,7 @@
 import ragwort_model as model
 import ragwort_wire as wire
 
-REPORT_TIMEOUT_S = 1.0
+REPLY_TIMEOUT_S = 1.0
 
 RunnerEvent = (
     model.StageChunk
@@ -94,13 +94,13 @@
         self.http_client = http_client
         self.on_load = on_load
         self.on_event = on_event
-        self.calls: dict[str, _OpenCall] = {}
+        self.open_calls: dict[str, _OpenCall] = {}
 
     def call(self, effect: model.CallRunner) -> None:
         """Send a stage call."""
         attempt = effect.call.attempt
         open_call = _OpenCall(attempt, self._on_call_event)
-        self.calls[str(attempt)] = open_call
+        self.open_calls[str(attempt)] = open_call
         url = f'http://{effect.runner.address}/v1/calls'
         body = wire.encode_call(effect.call)
         pending_response = self.http_client.request(
@@ -112,14 +112,14 @@
         )
 
     def _on_call_event(self, event: RunnerEvent) -> None:
-        open_call = self.calls.get(str(event.attempt))
+        open_call = self.open_calls.get(str(event.attempt))
         if open_call is not None and open_call.ended:
-            del self.calls[str(event.attempt)]
+            del self.open_calls[str(event.attempt)]
         self.on_event(event)
 
     def cancel(self, effect: model.CancelCall) -> None:
         """Close the connection of a call, which cancels it at the runner."""
-        open_call = self.calls.pop(str(effect.attempt), None)
+        open_call = self.open_calls.pop(str(effect.attempt), None)
         if open_call is not None:
             open_call.cancel()
 
@@ -128,7 +128,7 @@
         name = effect.runner.name
         url = f'http://{effect.runner.address}/v1/load'
         pending_reply = self._fetch_load(url)
-        pending_reply.addTimeout(REPORT_TIMEOUT_S, self.reactor)
+        pending_reply.addTimeout(REPLY_TIMEOUT_S, self.reactor)
         pending_reply.addErrback(lambda _: None)
         pending_reply.addCallback(
             lambda report: self.on_load(model.LoadResult(name, report))
@@ -148,5 +148,5 @@
             b'POST', url, body, fresh=True
         )
         pending_reply.addCallback(client.readBody)
-        pending_reply.addTimeout(REPORT_TIMEOUT_S, self.reactor)
+        pending_reply.addTimeout(REPLY_TIMEOUT_S, self.reactor)
         pending_reply.addErrback(lambda _: None)
--- a/libs/ragwort_node/ragwort_node/_status.py
+++ b/libs/ragwort_node/ragwort_node/_status.py
@@ -61,12 +61,12 @@
 
 
 def class_status(
-    work: model.ClassOfWork, record: policy.ClassRecord
+    class_of_work: model.ClassOfWork, record: policy.ClassRecord
 ) -> ClassStatus:
     """Return the status of a class of work."""
     return ClassStatus(
-        work.name,
-        work.target,
+        class_of_work.name,
+        class_of_work.target,
         record.attainment,
         record.cost_per_request,
         record.total_ended,
--- a/libs/ragwort_node/ragwort_node/_stream_follower.py
+++ b/libs/ragwort_node/ragwort_node/_stream_follower.py
@@ -14,7 +14,8 @@
 class FollowedStream:
     """A local subscriber and the remote stream that it follows.
 
-    retries counts the Follow messages sent since the last event.
+    last_activity_at is when the last event came or Follow was repeated;
+    retries counts the repetitions since the last event.
     """
 
     token: str
@@ -25,7 +26,7 @@
     body_digest: str
     next_seq: int
     expires_at: float
-    last_event_at: float
+    last_activity_at: float
     accepted_sent: bool
     retries: int = 0
 
@@ -86,7 +87,7 @@
         if stream is None:
             return
         event = wire.decode_event(message.event)
-        stream.last_event_at = now
+        stream.last_activity_at = now
         stream.retries = 0
         if isinstance(event, model.Accepted) and stream.accepted_sent:
             return
@@ -114,8 +115,8 @@
                 self._end_unknown(stream, f'host {stream.host} is gone')
             elif now >= stream.expires_at:
                 self._end_unknown(stream, 'deadline passed')
-            elif now - stream.last_event_at >= SILENCE_TIMEOUT_S:
-                stream.last_event_at = now
+            elif now - stream.last_activity_at >= SILENCE_TIMEOUT_S:
+                stream.last_activity_at = now
                 stream.retries += 1
                 if stream.retries > MAX_FOLLOW_RETRIES:
                     self._end_unknown(stream, f'host {stream.host} is silent')
