--- a/libs/ragwort_node/ragwort_node/_accounting.py
+++ b/libs/ragwort_node/ragwort_node/_accounting.py
@@ -51,7 +51,7 @@
         busy_s: float,
         now: float,
     ) -> None:
-        """Reinstate or keep ejected a runner after a probe."""
+        """Reinstate a probed runner, or extend its ejection."""
         state = attempt.state
         peers = self.dispatcher.runners_in_service(state.runner.service, now)
         reinstated = policy.on_probe_result(state, ok, busy_s, peers, now)
--- a/libs/ragwort_node/ragwort_node/_effects.py
+++ b/libs/ragwort_node/ragwort_node/_effects.py
@@ -1,4 +1,4 @@
-"""Effects of a node core beside those of the model package."""
+"""Effects of a node core besides those of the model package."""
 
 import dataclasses
 import enum
--- a/libs/ragwort_node/ragwort_node/_engine.py
+++ b/libs/ragwort_node/ragwort_node/_engine.py
@@ -13,7 +13,7 @@
 
 MAX_ATTEMPTS_PER_STAGE = 4
 PROGRESS_TIMEOUT_S = 1.0
-ENDED_RETENTION_S = 30.0
+RESUME_RETENTION_S = 30.0
 CALL_PRIORITY = 5
 HEDGE_PRIORITY = 2
 TOO_LATE_RETRY_AFTER_S = 1.0
@@ -574,7 +574,7 @@
         )
         self.subscribers.notify(execution, execution.end, now)
         self.accounting.on_outcome(execution, outcome, now)
-        retained_until = now + ENDED_RETENTION_S
+        retained_until = now + RESUME_RETENTION_S
         self.timers.add(
             retained_until, _timers.TimerKind.RETENTION, execution.key
         )
--- a/libs/ragwort_node/ragwort_node/_placement.py
+++ b/libs/ragwort_node/ragwort_node/_placement.py
@@ -1,4 +1,4 @@
-"""Placement: which runners are loaded or on standby, by leased controllers.
+"""Placement of runners, loaded or on standby, under a lease per service.
 
 The list of standby runners is a configuration object, so that every node
 stops using a runner before it is unloaded. Orders state the wanted state,
@@ -96,7 +96,7 @@
         return found[0]
 
     def _reconcile(self, now: float, wall: float) -> list[PlacementEffect]:
-        """Order the runners to change whose state is not the wanted one."""
+        """Send orders to the runners that are not in their wanted state."""
         effects: list[PlacementEffect] = []
         standby = self.replica.catalog.standby.get(self.service, frozenset())
         for runner in self.live_runners():
@@ -120,7 +120,7 @@
         return effects
 
     def _may_unload(self, report: model.LoadReport, now: float) -> bool:
-        """Tell whether a runner is idle and all nodes could drop it."""
+        """Tell whether a runner is idle and every node had time to drop it."""
         adopted_at = self.replica.adopted_at.get(self.object_name, now)
         settled = now - adopted_at >= SETTLE_DELAY_S
         return settled and not report.running and not report.queued
