--- a/libs/ragwort_node/ragwort_node/_core.py
+++ b/libs/ragwort_node/ragwort_node/_core.py
@@ -141,7 +141,7 @@
     def on_load(
         self, event: model.LoadResult, now: float
     ) -> list[_effects.Effect]:
-        """Handle the end of a load read."""
+        """Handle the result of a load read."""
         runner = self.control.catalog.runners.get(event.runner)
         if runner is None:
             return []
@@ -489,7 +489,7 @@
             case model.StageChunk():
                 self.engine.on_chunk(event, now)
             case model.StageHeartbeat():
-                self.engine.on_alive(event, now)
+                self.engine.on_heartbeat(event, now)
             case model.StageEnd():
                 self._note_call_report(event.attempt, event.report, now)
                 self.engine.on_end(event, now)
--- a/libs/ragwort_node/ragwort_node/_engine.py
+++ b/libs/ragwort_node/ragwort_node/_engine.py
@@ -288,7 +288,7 @@
                 execution, model.Chunk(event.seq, event.data), now
             )
 
-    def on_alive(self, event: model.StageHeartbeat, now: float) -> None:
+    def on_heartbeat(self, event: model.StageHeartbeat, now: float) -> None:
         """Note that a runner still works on an attempt."""
         found = self._find_attempt(event.attempt)
         if found is not None:
--- a/libs/ragwort_node/ragwort_node/_placement.py
+++ b/libs/ragwort_node/ragwort_node/_placement.py
@@ -1,7 +1,7 @@
 """Placement of runners, loaded or on standby, under a lease per service.
 
 The list of standby runners is a configuration object, so that every node
-stops using a runner before it is unloaded. Orders state the wanted state,
+stops using a runner before it is unloaded. Orders state the desired state,
 not a step towards it, and are repeated until the runner reports it.
 """
 
@@ -96,7 +96,7 @@
         return found[0]
 
     def _reconcile(self, now: float, wall: float) -> list[PlacementEffect]:
-        """Send orders to the runners that are not in their wanted state."""
+        """Send orders to the runners that are not in their desired state."""
         effects: list[PlacementEffect] = []
         standby = self.replica.catalog.standby.get(self.service, frozenset())
         for runner in self.live_runners():
@@ -128,20 +128,20 @@
     def _send_order(
         self,
         runner: model.Runner,
-        wanted: model.DesiredState,
+        desired: model.DesiredState,
         now: float,
         wall: float,
     ) -> list[PlacementEffect]:
         if not self.lease.may_order(now, runner.checks_fencing):
             return []
         order = model.RunnerOrder(
-            self.lease.fencing, wanted, wall + state.ORDER_EXPIRY_S
+            self.lease.fencing, desired, wall + state.ORDER_EXPIRY_S
         )
         decision = _effects.Decision(
             now,
             _effects.DecisionKind.PLACEMENT,
             runner.name,
-            f'order-{wanted}',
+            f'order-{desired}',
             detail=f'{self.service}, fencing {order.fencing}',
         )
         return [decision, model.SendOrder(runner, order)]
@@ -168,7 +168,7 @@
                     runner.name in standby,
                 )
             )
-        if self.recalling or self.open_op is not None:
+        if self.recalling or self.pending_op is not None:
             return []
         decision = policy.plan_placement(loads, shortfall, self.history, now)
         if decision is None:
@@ -209,7 +209,7 @@
         self.recalling &= standby
         return [
             model.StoreCall(
-                self.open_op,
+                self.pending_op,
                 model.StoreVerb.PUT,
                 self.object_name,
                 json.dumps(content, sort_keys=True),
@@ -223,8 +223,8 @@
         The outcome of a placement write is ignored: the watch delivers the
         object as stored, and the next poll starts from there.
         """
-        if result.op == self.open_op:
-            self.open_op = None
+        if result.op == self.pending_op:
+            self.pending_op = None
         else:
             self.lease.on_store_result(result, now)
 
--- a/libs/ragwort_node/ragwort_node/_poller.py
+++ b/libs/ragwort_node/ragwort_node/_poller.py
@@ -31,7 +31,7 @@
             self.last_contact_at[runner] = now
 
     def tick(self, now: float) -> list[model.ReadLoad]:
-        """Return the reads of the runners that are due."""
+        """Return the load reads that are due."""
         self._reassign()
         runners = self.control.catalog.runners
         due: list[model.ReadLoad] = []
--- a/libs/ragwort_node/ragwort_node/_runner_client.py
+++ b/libs/ragwort_node/ragwort_node/_runner_client.py
@@ -89,7 +89,7 @@
         on_event: Callable[[RunnerEvent], None],
         on_load: Callable[[model.LoadResult], None],
     ) -> None:
-        """Pass call events to on_event and load reads to on_load."""
+        """Pass call events to on_event and load results to on_load."""
         self.reactor = reactor
         self.http_client = http_client
         self.on_load = on_load
