--- a/libs/ragwort_edge/ragwort_edge/_host.py
+++ b/libs/ragwort_edge/ragwort_edge/_host.py
@@ -187,7 +187,7 @@
             )
             self._listen(address, site)
         factory = peers.IncomingPeerFactory(
-            self._on_frame, self._on_peer_problem
+            self._on_frame, self._on_invalid_frame
         )
         self._listen(options.host.peer_address, factory)
         self.logger.info('start', address=options.host.caller_address)
@@ -392,8 +392,8 @@
             _stage_service.OWNER_CANDIDATES,
         )
 
-    def _on_peer_problem(self, detail: str) -> None:
-        self.logger.warning('peer-problem', detail=detail)
+    def _on_invalid_frame(self, detail: str) -> None:
+        self.logger.warning('invalid-peer-frame', detail=detail)
 
     def _on_frame(self, frame: Any) -> None:
         now, wall = self.reactor.seconds(), time.time()
