--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -412,7 +412,7 @@
     dialect = platform.PlatformDialect()
     found = dialect.read_stage_reply(context.reply, 3)
     assert [f.handle for f in found] == ['a/1', None, None]
-    assert found[1].result == edge.PieceResult.NO_ROOM
+    assert found[1].result == edge.PieceResult.STORAGE_FULL
     assert found[2].result == edge.PieceResult.ERROR
     try:
         dialect.read_stage_reply(context.reply, 2)
--- a/libs/ragwort_edge/ragwort_edge/_dialect.py
+++ b/libs/ragwort_edge/ragwort_edge/_dialect.py
@@ -67,7 +67,7 @@
     MADE = 'made'
     LATE = 'late'
     INPUT_GONE = 'gone'
-    NO_ROOM = 'room'
+    STORAGE_FULL = 'room'
     ERROR = 'error'
 
 
@@ -108,11 +108,11 @@
     ) -> _messages.HttpRequest:
         """Return the request that frees results."""
 
-    def room_request(self, address: str) -> _messages.HttpRequest:
-        """Return the request for a runner's free result space."""
+    def storage_request(self, address: str) -> _messages.HttpRequest:
+        """Return the request for a runner's free storage."""
 
-    def read_room(self, response: _messages.HttpResponse) -> float:
-        """Return the free result space in bytes; raise WireError."""
+    def read_free_storage(self, response: _messages.HttpResponse) -> float:
+        """Return the free storage in bytes; raise WireError."""
 
     def handle_address(self, handle: str) -> str:
         """Return the address of the runner that stores a result."""
--- a/libs/ragwort_edge/ragwort_edge/_request_stages.py
+++ b/libs/ragwort_edge/ragwort_edge/_request_stages.py
@@ -103,14 +103,14 @@
         self, run: relay.StageRun, waits_s: list[float]
     ) -> relay.Forecast:
         return relay.forecast(
-            run, self._usual_s(run), waits_s, self._first_event_s
+            run, self._typical_s(run), waits_s, self._first_event_s
         )
 
     @property
     def _first_event_s(self) -> float:
         return relay.first_event_s(self.metadata.prompt)
 
-    def _usual_s(self, run: relay.StageRun) -> list[float]:
+    def _typical_s(self, run: relay.StageRun) -> list[float]:
         return relay.typical_stage_s(run, self.configuration.services)
 
     def _timely_waits_s(self, run: relay.StageRun) -> list[float]:
@@ -120,15 +120,15 @@
         each queue goes before it.
         """
         now = self.context.reactor.seconds()
-        usual_s = self._usual_s(run)
+        typical_s = self._typical_s(run)
         left_s = self.times.target_at - now - self._first_event_s
-        spare_s = left_s - run.critical_path_s(usual_s)
-        spare_s += relay.SLACK_PER_RANK_S * self.times.rank
+        slack_s = left_s - run.critical_path_s(typical_s)
+        slack_s += relay.SLACK_PER_RANK_S * self.times.rank
         return [
             self.context.stages.waits.wait_s(
-                spec.service, spare_s + work_s, now
+                spec.service, slack_s + work_s, now
             )
-            for spec, work_s in zip(self.route.stages, usual_s, strict=True)
+            for spec, work_s in zip(self.route.stages, typical_s, strict=True)
         ]
 
     def _late_waits_s(self) -> list[float]:
@@ -185,7 +185,7 @@
     def _start_delay_s(self, run: relay.StageRun, stage: int) -> float:
         """Return how long to delay a stage with large results.
 
-        They take room at their runner until the main call reads them,
+        They take storage at their runner until the main call reads them,
         which it can only do once all stages are complete.
         """
         spec = self.route.stages[stage]
@@ -196,9 +196,9 @@
         waits_s = (
             self._late_waits_s() if is_late else self._timely_waits_s(run)
         )
-        expected_s = _add_pairwise(self._usual_s(run), waits_s)
-        spare_s = run.slack_s(stage, expected_s, now) - START_DELAY_MARGIN_S
-        return spare_s if spare_s >= MIN_START_DELAY_S else 0.0
+        expected_s = _add_pairwise(self._typical_s(run), waits_s)
+        slack_s = run.slack_s(stage, expected_s, now) - START_DELAY_MARGIN_S
+        return slack_s if slack_s >= MIN_START_DELAY_S else 0.0
 
     def _on_stage_error(
         self, failure: Any, done: 'defer.Deferred[None]'
@@ -209,11 +209,11 @@
     def _piece_group(
         self, run: relay.StageRun, stage: int
     ) -> relay.PieceGroup:
-        usual_s = self._usual_s(run)
-        with_waits_s = _add_pairwise(usual_s, self._timely_waits_s(run))
+        typical_s = self._typical_s(run)
+        with_waits_s = _add_pairwise(typical_s, self._timely_waits_s(run))
         first_s = self._first_event_s
         target_s = relay.time_after_stage_s(run, stage, with_waits_s) + first_s
-        deadline_s = relay.time_after_stage_s(run, stage, usual_s) + first_s
+        deadline_s = relay.time_after_stage_s(run, stage, typical_s) + first_s
         return relay.PieceGroup(
             '',
             run.work(stage),
--- a/libs/ragwort_edge/ragwort_edge/_stage_owner.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_owner.py
@@ -15,8 +15,8 @@
 
 RELEASE_DELAY_S = 0.015
 RELEASE_TIMEOUT_S = 1.0
-# Interval of checks of a runner's room; results live for seconds.
-ROOM_CHECK_INTERVAL_S = 0.4
+# Interval of checks of a runner's storage; results live for seconds.
+STORAGE_CHECK_INTERVAL_S = 0.4
 MAX_SENDS_PER_PIECE = 3
 # Finished groups whose outcomes are kept to answer a repeated StageAsk.
 MAX_FINISHED_GROUPS = 256
@@ -41,7 +41,7 @@
 
 
 class StageOwner:
-    """Batches pieces, calls runners and tracks their room for results."""
+    """Batches pieces, calls runners and tracks their result storage."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self.batchers: dict[str, relay.Batcher] = {}
         self.releases: dict[str, list[str]] = {}
         self.release_timer: Any = None
-        self.room_check_due: dict[str, float] = {}
+        self.storage_check_due: dict[str, float] = {}
         self.dispatch_timers: dict[str, Any] = {}
 
     def update_wait(self, service: str) -> None:
@@ -177,30 +177,32 @@
             delay_s, self._dispatch, service
         )
 
-    def _check_room(self, batcher: relay.Batcher, runners: Any) -> None:
-        """Query the room of runners that may hold results of others."""
+    def _check_storage(self, batcher: relay.Batcher, runners: Any) -> None:
+        """Query free storage of runners that may hold foreign results."""
         now = self.reactor.seconds()
         for runner in runners:
-            due = self.room_check_due.get(runner.name, -math.inf)
+            due = self.storage_check_due.get(runner.name, -math.inf)
             if now < due or not batcher.may_hold_foreign_results(
                 runner.name, now
             ):
                 continue
-            self.room_check_due[runner.name] = now + ROOM_CHECK_INTERVAL_S
-            request = self.dialect.room_request(runner.address)
+            self.storage_check_due[runner.name] = (
+                now + STORAGE_CHECK_INTERVAL_S
+            )
+            request = self.dialect.storage_request(runner.address)
             done = _client.fetch(
-                self.client, runner.address, request, ROOM_CHECK_INTERVAL_S
+                self.client, runner.address, request, STORAGE_CHECK_INTERVAL_S
             )
-            done.addCallback(self._on_room, batcher, runner)
-            done.addErrback(self._on_room_error, runner)
+            done.addCallback(self._on_storage, batcher, runner)
+            done.addErrback(self._on_storage_error, runner)
 
-    def _on_room(
+    def _on_storage(
         self,
         response: _messages.HttpResponse,
         batcher: relay.Batcher,
         runner: relay.FleetRunner,
     ) -> None:
-        free_bytes = self.dialect.read_room(response)
+        free_bytes = self.dialect.read_free_storage(response)
         batcher.on_free_bytes(runner.name, free_bytes)
         foreign = batcher.foreign_bytes[runner.name]
         if foreign:
@@ -211,10 +213,12 @@
                 foreign_bytes=int(foreign),
             )
 
-    def _on_room_error(self, failure: Any, runner: relay.FleetRunner) -> None:
+    def _on_storage_error(
+        self, failure: Any, runner: relay.FleetRunner
+    ) -> None:
         failure.trap(_client.CallError, model.WireError)
         self.logger.info(
-            'room-check-failed',
+            'storage-check-failed',
             runner=runner.name,
             detail=failure.getErrorMessage(),
         )
@@ -228,7 +232,7 @@
         for piece in batcher.remove_too_late(runners, now):
             self._fail_pieces(piece.group, [piece.work.piece], 'late')
         if batcher.queue:
-            self._check_room(batcher, runners)
+            self._check_storage(batcher, runners)
         following_s = self._following_wait_s(service, now)
         for call in batcher.next_calls(runners, now, following_s):
             self._send_call(service, batcher, call)
@@ -343,14 +347,14 @@
                     wanted=group_id in self.owned,
                 )
             retryable = (
-                _dialect.PieceResult.NO_ROOM,
+                _dialect.PieceResult.STORAGE_FULL,
                 _dialect.PieceResult.ERROR,
             )
             if group_id not in self.owned:
                 if result.handle:
                     unneeded.append(result.handle)
             elif result.result in retryable:
-                if result.result == _dialect.PieceResult.NO_ROOM:
+                if result.result == _dialect.PieceResult.STORAGE_FULL:
                     size = piece.group.result_bytes
                     batcher.on_storage_full(call, size, self.reactor.seconds())
                 retries.append(piece)
@@ -465,8 +469,8 @@
         for handle in handles:
             address = self.dialect.handle_address(handle)
             self.releases.setdefault(address, []).append(handle)
-        is_room_needed = any(g.queue for g in self.batchers.values())
-        delay_s = 0.0 if is_room_needed else RELEASE_DELAY_S
+        is_storage_needed = any(g.queue for g in self.batchers.values())
+        delay_s = 0.0 if is_storage_needed else RELEASE_DELAY_S
         if self.release_timer is None:
             self.release_timer = self.reactor.callLater(
                 delay_s, self._send_releases
@@ -489,7 +493,7 @@
             done.addCallback(self._on_released, handles)
 
     def _on_released(self, _: object, handles: list[str]) -> None:
-        """Count room as free only after the runner has freed it."""
+        """Count storage as free only after the runner has freed it."""
         for service, batcher in self.batchers.items():
             batcher.release(handles)
             if batcher.queue:
--- a/libs/ragwort_edge/ragwort_edge/_stage_service.py
+++ b/libs/ragwort_edge/ragwort_edge/_stage_service.py
@@ -317,7 +317,7 @@
         pending.timer = None
 
     def release(self, service: str, handles: list[str]) -> None:
-        """Free results through the owner that counts their room.
+        """Free results through the owner that counts their storage.
 
         Those of a silent owner, which would never free them, are freed here.
         """
--- a/libs/ragwort_lab/ragwort_lab/_relay_fakes.py
+++ b/libs/ragwort_lab/ragwort_lab/_relay_fakes.py
@@ -2,7 +2,7 @@
 
 Everything runs on one virtual clock. The dialect is the plainest that can
 carry what the relay asks; runners follow the rules of real ones closely
-enough for the relay's promises: one call at a time, a short queue, room
+enough for the relay's promises: one call at a time, a short queue, storage
 for results, work that ends when its connection closes.
 """
 
@@ -121,12 +121,12 @@
         body = json.dumps(list(handles)).encode()
         return edge.HttpRequest(b'POST', b'/free', (), body)
 
-    def room_request(self, address: str) -> edge.HttpRequest:
-        """Return the question for a runner's room."""
+    def storage_request(self, address: str) -> edge.HttpRequest:
+        """Return the request for a runner's free storage."""
         return edge.HttpRequest(b'GET', b'/room', ())
 
-    def read_room(self, response: edge.HttpResponse) -> float:
-        """Return the free bytes."""
+    def read_free_storage(self, response: edge.HttpResponse) -> float:
+        """Return the free storage in bytes."""
         try:
             return float(response.body)
         except ValueError as error:
@@ -328,7 +328,7 @@
 
 
 class LabStageRunner(LabRunner):
-    """Makes pieces: one call at a time, a queue of two, room for results."""
+    """Makes pieces: one call at a time, a queue of two, limited storage."""
 
     def __init__(
         self,
